--- a/bins/walkhook/tests/job.rs
+++ b/bins/walkhook/tests/job.rs
@@ -8,7 +8,7 @@
 use console::Console;
 use fakes::cell::{Cell, Conduct};
 use model::Resources;
-use sched::{How, Info};
+use sched::{RunOutcome, WorkerInfo};
 use work::key::Digest;
 use work::{Config, Queue, Workspace};
 
@@ -40,7 +40,7 @@
 
 async fn serve() -> Served {
     let cell = Cell::new(config());
-    let info = Info {
+    let info = WorkerInfo {
         address: "10.0.0.1:80".to_owned(),
         pool: "pool".to_owned(),
         zone: "zone".to_owned(),
@@ -50,7 +50,7 @@
         evacuated: false,
     };
     cell.add_worker("w1", info);
-    cell.conduct(Conduct { takes: Duration::from_secs(600), how: How::Done });
+    cell.conduct(Conduct { takes: Duration::from_secs(600), how: RunOutcome::Done });
     let host = cell.host("host-1").await.expect("a free port");
     let end = Instant::now() + PATIENCE;
     while !host.ready() {
--- a/components/entry/examples/takeover.rs
+++ b/components/entry/examples/takeover.rs
@@ -10,7 +10,7 @@
 use entry::{Answer, Call, Caller, Host, Role};
 use fakes::cell::{Cell, Conduct};
 use model::Resources;
-use sched::{How, Info};
+use sched::{RunOutcome, WorkerInfo};
 use tokio::time::sleep;
 use work::{Config, Job, JobId, Queue, Step, Term};
 
@@ -43,7 +43,7 @@
 async fn measure(workers: usize) -> anyhow::Result<()> {
     let cell = Cell::new(Config::new(1, vec![queue()], 100_000));
     (0..workers).for_each(|number| cell.add_worker(&format!("w{number:05}"), info(number)));
-    cell.conduct(Conduct { takes: TAKES, how: How::Done });
+    cell.conduct(Conduct { takes: TAKES, how: RunOutcome::Done });
     cell.workers_wait(Duration::from_secs(2));
     let mut hosts = vec![cell.host("host-0").await?];
     reached(|| leads(&hosts[0])).await;
@@ -139,8 +139,8 @@
     }
 }
 
-fn info(number: usize) -> Info {
-    Info {
+fn info(number: usize) -> WorkerInfo {
+    WorkerInfo {
         address: format!("10.{}.{}.{}:80", number / 65_536, number / 256 % 256, number % 256),
         pool: "pool".to_owned(),
         zone: "zone".to_owned(),
--- a/components/entry/src/edge.rs
+++ b/components/entry/src/edge.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use sched::{End, Info, Running, Start};
+use sched::{End, Running, Start, WorkerInfo};
 use thiserror::Error;
 use work::{Attempt, Config, Task, Term, Unit, WorkerId};
 
@@ -114,7 +114,7 @@
     /// Waits until the configuration may have changed after `revision`; see [`Store::changed`].
     async fn config_changed(&self, revision: u64, wait: Duration) -> Result<Change, Fault>;
     /// Reads the list of workers.
-    async fn workers(&self) -> Result<BTreeMap<WorkerId, Info>, Fault>;
+    async fn workers(&self) -> Result<BTreeMap<WorkerId, WorkerInfo>, Fault>;
 }
 
 /// A renewal of a worker's leases.
--- a/components/entry/src/reign.rs
+++ b/components/entry/src/reign.rs
@@ -256,7 +256,7 @@
 
     /// Whether orders may be given to workers.
     pub(crate) fn authorized(&self) -> bool {
-        !self.is_over() && self.unconfirmed_for() < sched::AUTHORITY
+        !self.is_over() && self.unconfirmed_for() < sched::AUTHORITY_TIMEOUT
     }
 
     pub(crate) fn is_over(&self) -> bool {
@@ -277,7 +277,7 @@
     /// Writes what is owed, so that the next leader finds it.
     pub(crate) async fn flush(&self) {
         let flushed = async {
-            while self.engine.lock().owes() {
+            while self.engine.lock().has_pending_records() {
                 self.write.notify_one();
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
--- a/components/entry/src/reign/accept.rs
+++ b/components/entry/src/reign/accept.rs
@@ -43,7 +43,7 @@
     /// Why a job isn't taken, whatever the store says: another workspace has its id, or it can never run.
     fn unacceptable(&self, scope: &Scope, id: JobId, job: &Job) -> Option<Answer> {
         let mut engine = self.engine.lock();
-        if engine.keeps(id) {
+        if engine.has_job(id) {
             return (!scope.shows(engine.workspace(id))).then_some(Answer::IdTaken);
         }
         let Scope::Only(Some(workspace)) = scope else { return None };
@@ -72,7 +72,7 @@
             return refusal;
         }
         let objective = self.engine.lock().objective(&queue, &job);
-        if self.store_away() && !self.engine.lock().keeps(id) {
+        if self.store_away() && !self.engine.lock().has_job(id) {
             return self.refuse(id, objective);
         }
         let owner = scope.owner(queue);
@@ -92,7 +92,7 @@
             }
         }
         // Another caller of the same id may have given up and taken it back.
-        match self.engine.lock().keeps(id) {
+        match self.engine.lock().has_job(id) {
             true => Answer::Accepted,
             false => Answer::Refused(retry_after(objective)),
         }
--- a/components/entry/src/reign/agent.rs
+++ b/components/entry/src/reign/agent.rs
@@ -6,7 +6,7 @@
 use events::emit;
 use parking_lot::Mutex;
 use rand::Rng;
-use sched::{Lease, Report, USUAL_PAUSE};
+use sched::{Lease, RENEWAL_INTERVAL, Report};
 use tokio::sync::{Notify, Semaphore, SemaphorePermit};
 use tokio::task::AbortHandle;
 use work::Life;
@@ -55,7 +55,7 @@
 /// Holds every worker of the book. They are called in the order in which their holds begin.
 pub(crate) fn follow(reign: &Arc<Reign>) {
     let mut agents = reign.agents.lock();
-    let uncalled = reign.engine.lock().uncalled(|id| agents.contains_key(id));
+    let uncalled = reign.engine.lock().workers_to_contact(|id| agents.contains_key(id));
     for (id, address) in uncalled {
         let target = Target { id: id.clone(), address };
         let lease = Arc::new(Mutex::new(Lease::default()));
@@ -112,7 +112,7 @@
         let engine = self.reign.engine.lock();
         let pause = engine.idle_pause();
         let owed = engine.taken(&self.target.id) > self.acknowledged;
-        (pause > USUAL_PAUSE && !self.silent && !owed && engine.idle(&self.target.id)).then_some(pause)
+        (pause > RENEWAL_INTERVAL && !self.silent && !owed && engine.is_worker_idle(&self.target.id)).then_some(pause)
     }
 
     /// Rests while the worker is idle. The first rest is of any length: workers that were called one after the other would go on being
@@ -211,15 +211,15 @@
     /// Sends a renewal, and takes note of the lease that it may have carried there.
     async fn send(&self, acked: u64) -> Result<Reply<Held>, Fault> {
         let host = &self.reign.host;
-        let until = self.lease.lock().end(host.started.elapsed(), host.settings.limits.lease);
+        let until = self.lease.lock().expiry(host.started.elapsed(), host.settings.limits.lease);
         let waits = until.is_some() && !self.silent && self.idle_pause().is_none();
-        let wait = if waits { USUAL_PAUSE.max(self.reign.busy_pause()) } else { Duration::ZERO };
+        let wait = if waits { RENEWAL_INTERVAL.max(self.reign.busy_pause()) } else { Duration::ZERO };
         let renewal = Renewal { term: self.reign.term, until, acked, wait };
         let outcome = host.edges.workers.renew(&self.target, &renewal).await;
         if let Some(until) = until
             && !matches!(outcome, Err(Fault::NotDone(_)))
         {
-            self.lease.lock().gave(until);
+            self.lease.lock().grant(until);
         }
         outcome
     }
@@ -232,8 +232,12 @@
         }
         self.lapsed = false;
         let known = self.reign.seat.lock().last.is_some();
-        let follows = self.reign.engine.lock().follows(&self.target.id);
-        self.lease.lock().read(clock, host.started.elapsed(), host.settings.limits.inherited(known && !follows));
+        let follows = self.reign.engine.lock().follows_earlier_life(&self.target.id);
+        self.lease.lock().observe_clock(
+            clock,
+            host.started.elapsed(),
+            host.settings.limits.predecessor_lease(known && !follows),
+        );
     }
 
     /// Whether the life that answers is another one than this. An order names the worker only, and reaches whichever life is there.
@@ -248,7 +252,7 @@
         let host = &self.reign.host;
         emit!(host.log, events::WORKER_REPLACED, "worker" => id, "address" => &self.target.address);
         let next = born.map(|born| Life { born: Some(born), ..Life::of(id) }.id());
-        self.reign.engine.lock().superseded(host.clock(), id, next);
+        self.reign.engine.lock().worker_replaced(host.clock(), id, next);
         self.reign.agents.lock().remove(id);
         follow(&self.reign);
         self.reign.write.notify_one();
@@ -262,10 +266,10 @@
         if !std::mem::replace(&mut self.silent, true) {
             emit!(host.log, events::WORKER_SILENT, "worker" => id, "fault" => fault.to_string());
         }
-        let over = self.lease.lock().lapsed(host.started.elapsed());
+        let over = self.lease.lock().is_expired(host.started.elapsed());
         if over && !std::mem::replace(&mut self.lapsed, true) {
             emit!(host.log, events::WORKER_LAPSED, "worker" => id);
-            self.reign.engine.lock().lapsed(host.clock(), id);
+            self.reign.engine.lock().leases_expired(host.clock(), id);
             self.reign.plan.notify_one();
         }
     }
--- a/components/entry/src/reign/ask.rs
+++ b/components/entry/src/reign/ask.rs
@@ -149,11 +149,11 @@
         Some(healthy) => {
             let until = now + question.validity;
             let tickets = healthy.into_iter().map(|(worker, text)| (worker, Ticket { text, until })).collect();
-            reign.engine.lock().advised(question.unit, &question.workers, tickets);
+            reign.engine.lock().advice_received(question.unit, &question.workers, tickets);
         }
         None => {
             tokio::time::sleep(PAUSE).await;
-            reign.engine.lock().unadvised(question.unit, &question.workers);
+            reign.engine.lock().advice_failed(question.unit, &question.workers);
         }
     }
     reign.desk.free(asker.name());
--- a/components/entry/src/reign/commit.rs
+++ b/components/entry/src/reign/commit.rs
@@ -100,12 +100,12 @@
 
 impl Writer {
     fn pace(&self) -> (u32, Duration) {
-        pace(self.reign.write_latency.lock().usual().unwrap_or_default())
+        pace(self.reign.write_latency.lock().smoothed().unwrap_or_default())
     }
 
     /// Waits until something is owed and another transaction may be sent.
     async fn wait(&self, under_way: usize) {
-        while !self.reign.engine.lock().owes() && !self.reign.restore.load(Ordering::Acquire) {
+        while !self.reign.engine.lock().has_pending_records() && !self.reign.restore.load(Ordering::Acquire) {
             self.reign.write.notified().await;
         }
         if under_way >= self.pace().0 as usize {
@@ -178,7 +178,7 @@
 /// Sends a transaction until its outcome is known. `None` when this host doesn't lead any more.
 async fn settle(reign: &Arc<Reign>, batch: &Batch) -> Option<Settled> {
     let began = reign.host.started.elapsed();
-    let usual = reign.write_latency.lock().patience(LEAST_PATIENCE, FIRST_PATIENCE);
+    let usual = reign.write_latency.lock().timeout(LEAST_PATIENCE, FIRST_PATIENCE);
     let mut patience = usual;
     let mut again = Instant::now() + usual;
     let mut tries = FuturesUnordered::new();
--- a/components/entry/src/reign/duties.rs
+++ b/components/entry/src/reign/duties.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use events::emit;
-use sched::{Ended, Engine, Info, Passing, Stall};
+use sched::{EndedWorker, Engine, Stall, WorkerEndReason, WorkerInfo};
 use tokio::task::JoinHandle;
 use work::{Evidence, WorkerId};
 
@@ -52,17 +52,17 @@
             engine.plan(clock);
             if clock.now.saturating_sub(forgotten) > FORGET {
                 forgotten = clock.now;
-                engine.forget(clock.now);
+                engine.forget_ended_jobs(clock.now);
             }
             let mut stalls = Vec::new();
             if clock.now.saturating_sub(looked) > LOOK_FOR_STALLS {
                 looked = clock.now;
                 stalls = engine.stalls(clock);
-                reign.host.metrics.stalled_jobs.set(engine.stalled() as i64);
+                reign.host.metrics.stalled_jobs.set(engine.stalled_count() as i64);
             }
             reign.set_busy_pause(engine.busy_pause());
             measure(&reign, &engine);
-            (engine.take_actions(), engine.take_made_room(), engine.take_ended_workers(), stalls)
+            (engine.take_actions(), engine.take_preemptions(), engine.take_ended_workers(), stalls)
         };
         for made in made_room {
             emit!(reign.host.log, events::ROOM_MADE, "unit" => made.unit.to_string(), "worker" => made.worker,
@@ -71,7 +71,7 @@
         ended_workers.iter().for_each(|ended| report_loss(&reign, ended));
         stalls.iter().for_each(|stall| report_stall(&reign, stall));
         actions.into_iter().for_each(|action| orders::carry_out(&reign, action));
-        if reign.engine.lock().owes() {
+        if reign.engine.lock().has_pending_records() {
             reign.write.notify_one();
         }
         let took = reign.host.started.elapsed() - clock.now;
@@ -81,26 +81,26 @@
 
 /// Says what a worker's end took with it: from a job's id these lines lead to the workers that went under its tasks, and from a
 /// worker to what had just begun there.
-fn report_loss(reign: &Reign, ended: &Ended) {
+fn report_loss(reign: &Reign, ended: &EndedWorker) {
     let metrics = &reign.host.metrics;
-    metrics.worker_ends.get_or_create(&metrics::Outcome { outcome: ended.passing.name() }).inc();
-    if ended.next.is_some() || ended.passing == Passing::Restarted {
+    metrics.worker_ends.get_or_create(&metrics::Outcome { outcome: ended.reason.name() }).inc();
+    if ended.next.is_some() || ended.reason == WorkerEndReason::Restarted {
         emit!(reign.host.log, events::WORKER_RESTARTED, "worker" => &ended.worker,
-            "next" => ended.next.as_ref().unwrap_or(&ended.worker), "learnt" => ended.passing.name(),
+            "next" => ended.next.as_ref().unwrap_or(&ended.worker), "learnt" => ended.reason.name(),
             "silent_ms" => ended.silent.as_millis() as u64, "runs" => ended.runs.len(), "term" => reign.term);
         metrics.worker_restarts.inc();
     }
-    if ended.passing != Passing::Restarted {
-        emit!(reign.host.log, events::WORKER_GONE, "worker" => &ended.worker, "learnt" => ended.passing.name(),
+    if ended.reason != WorkerEndReason::Restarted {
+        emit!(reign.host.log, events::WORKER_GONE, "worker" => &ended.worker, "learnt" => ended.reason.name(),
             "silent_ms" => ended.silent.as_millis() as u64, "runs" => ended.runs.len(), "term" => reign.term);
     }
-    let new = ended.runs.iter().filter(|lost| !lost.shown).count();
+    let new = ended.runs.iter().filter(|lost| !lost.seen_running).count();
     for lost in &ended.runs {
-        let outcome = if lost.shown { "shown" } else { "new" };
+        let outcome = if lost.seen_running { "shown" } else { "new" };
         metrics.lost_runs.get_or_create(&metrics::Outcome { outcome }).inc();
         emit!(reign.host.log, events::RUN_LOST, "task" => lost.task.to_string(), "attempt" => lost.attempt,
-            "worker" => &ended.worker, "learnt" => ended.passing.name(), "silent_ms" => ended.silent.as_millis() as u64,
-            "draining" => ended.draining, "age_ms" => lost.age.as_millis() as u64, "shown" => lost.shown,
+            "worker" => &ended.worker, "learnt" => ended.reason.name(), "silent_ms" => ended.silent.as_millis() as u64,
+            "draining" => ended.draining, "age_ms" => lost.age.as_millis() as u64, "shown" => lost.seen_running,
             "confirmed" => lost.confirmed, "runs" => ended.runs.len(), "new" => new,
             "evidence" => lost.evidence.map_or("none", Evidence::name), "ends" => lost.ends, "given_up" => lost.given_up,
             "term" => reign.term);
@@ -126,7 +126,7 @@
 }
 
 /// What a read of the list of workers has brought.
-pub(crate) type Listing = Result<BTreeMap<WorkerId, Info>, Fault>;
+pub(crate) type Listing = Result<BTreeMap<WorkerId, WorkerInfo>, Fault>;
 
 /// Begins to read the list of workers.
 pub(crate) fn read_list(host: &Host) -> JoinHandle<Listing> {
@@ -153,7 +153,7 @@
             let pause = LIST_PAUSE_A_WORKER * workers.len() as u32;
             outage.succeeded(&reign.host.log);
             reign.hear();
-            reign.engine.lock().list(reign.host.clock(), workers);
+            reign.engine.lock().update_workers(reign.host.clock(), workers);
             agent::follow(reign);
             reign.write.notify_one();
             reign.plan.notify_one();
--- a/components/entry/src/reign/orders.rs
+++ b/components/entry/src/reign/orders.rs
@@ -47,7 +47,7 @@
         "worker" => &worker, "outcome" => format!("{outcome:?}"), "term" => reign.term);
     reign.host.metrics.starts.get_or_create(&metrics::Outcome { outcome: outcome.name() }).inc();
     let clock = reign.host.clock();
-    reign.engine.lock().ordered(clock, &worker, start.task, start.attempt, outcome);
+    reign.engine.lock().start_answered(clock, &worker, start.task, start.attempt, outcome);
     if let Some(agent) = reign.agents.lock().get(&worker) {
         agent.wake.notify_one();
     }
@@ -61,25 +61,25 @@
     // Nobody closes it.
     let Ok(_permit) = orders.acquire().await else { return OrderOutcome::Refused };
     // It may have waited for others.
-    if !reign.engine.lock().starting(worker, start.task, start.attempt) {
+    if !reign.engine.lock().is_start_wanted(worker, start.task, start.attempt) {
         return OrderOutcome::Refused;
     }
     let now = reign.host.started.elapsed();
-    let until = lease.lock().end(now, reign.host.settings.limits.lease);
+    let until = lease.lock().expiry(now, reign.host.settings.limits.lease);
     let Some(until) = until else { return OrderOutcome::Refused };
     if !reign.authorized() {
         return OrderOutcome::Refused;
     }
-    let patience = reign.order_latency.lock().patience(LEAST_PATIENCE, MOST_PATIENCE);
+    let patience = reign.order_latency.lock().timeout(LEAST_PATIENCE, MOST_PATIENCE);
     let order = Order { term: reign.term, until, start };
     let outcome = reign.host.edges.workers.start(&target, &order, patience).await;
     match &outcome {
         Ok(_) => reign.order_latency.lock().observe(reign.host.started.elapsed() - now),
-        Err(Fault::Unknown(_)) => reign.order_latency.lock().miss(),
+        Err(Fault::Unknown(_)) => reign.order_latency.lock().record_timeout(),
         Err(Fault::NotDone(_) | Fault::Malformed(_)) => {}
     }
     if !matches!(outcome, Err(Fault::NotDone(_))) {
-        lease.lock().gave(until);
+        lease.lock().grant(until);
     }
     match outcome {
         Ok(Reply::Done(())) => OrderOutcome::Started,
@@ -105,7 +105,7 @@
             Ok(Reply::Done(())) => {
                 emit!(reign.host.log, events::RUN_STOPPED, "task" => task.to_string(), "attempt" => attempt,
                     "worker" => &worker, "term" => reign.term);
-                reign.engine.lock().stopped(&worker, task, attempt);
+                reign.engine.lock().stop_accepted(&worker, task, attempt);
                 reign.plan.notify_one();
                 return;
             }
--- a/components/entry/tests/hosts.rs
+++ b/components/entry/tests/hosts.rs
@@ -7,7 +7,7 @@
 
 use entry::{Answer, Call, Caller, Host, Role};
 use fakes::cell::{Cell, Conduct};
-use sched::How;
+use sched::RunOutcome;
 use support::{PATIENCE, PAUSE, ask, cell, config, ends, hosts, job, leads, submit, until};
 use work::Outcome;
 
@@ -37,7 +37,7 @@
 async fn a_planned_stop_hands_leadership_over_and_loses_no_job() {
     let cell = cell();
     let hosts = hosts(&cell, 2).await;
-    cell.conduct(Conduct { takes: Duration::from_millis(400), how: How::Done });
+    cell.conduct(Conduct { takes: Duration::from_millis(400), how: RunOutcome::Done });
     assert_eq!(submit(&hosts[1], 7, 2).await, Answer::Accepted);
     until("started", || cell.starts().len() == 2).await;
     hosts[0].stop().await;
@@ -118,7 +118,7 @@
     let cell = cell();
     let hosts = hosts(&cell, 1).await;
     cell.start_takes(Duration::from_millis(20));
-    cell.conduct(Conduct { takes: Duration::from_secs(600), how: How::Done });
+    cell.conduct(Conduct { takes: Duration::from_secs(600), how: RunOutcome::Done });
     assert_eq!(submit(&hosts[0], 7, 8).await, Answer::Accepted);
     until("all have started", || cell.starts().len() == 8).await;
     let most = cell.most_starts_at_once();
@@ -197,7 +197,7 @@
 async fn a_cancelled_job_ends_and_its_tasks_are_stopped() {
     let cell = cell();
     let hosts = hosts(&cell, 2).await;
-    cell.conduct(Conduct { takes: Duration::from_secs(600), how: How::Done });
+    cell.conduct(Conduct { takes: Duration::from_secs(600), how: RunOutcome::Done });
     assert_eq!(submit(&hosts[1], 7, 2).await, Answer::Accepted);
     until("started", || cell.starts().len() == 2).await;
     assert_eq!(
@@ -217,7 +217,7 @@
 async fn a_job_that_can_never_be_done_fails_after_its_attempts() {
     let cell = cell();
     let hosts = hosts(&cell, 1).await;
-    cell.conduct(Conduct { takes: Duration::ZERO, how: How::Failed });
+    cell.conduct(Conduct { takes: Duration::ZERO, how: RunOutcome::Failed });
     assert_eq!(submit(&hosts[0], 7, 1).await, Answer::Accepted);
     assert_eq!(ends(&hosts[0], 7).await, Outcome::Failed);
     assert_eq!(cell.starts().len(), 3, "as often as the queue allows");
@@ -237,7 +237,7 @@
 async fn after_all_hosts_are_gone_a_new_one_goes_on_from_the_store() {
     let cell = cell();
     let first = hosts(&cell, 1).await;
-    cell.conduct(Conduct { takes: Duration::from_millis(300), how: How::Done });
+    cell.conduct(Conduct { takes: Duration::from_millis(300), how: RunOutcome::Done });
     assert_eq!(submit(&first[0], 7, 2).await, Answer::Accepted);
     until("started", || cell.starts().len() == 2).await;
     // Nothing of it reaches the store any more: for the others it is gone.
--- a/components/entry/tests/restart.rs
+++ b/components/entry/tests/restart.rs
@@ -11,7 +11,7 @@
 
 use entry::Answer;
 use fakes::cell::{Cell, Conduct};
-use sched::How;
+use sched::RunOutcome;
 use support::{PATIENCE, cell, ends, hosts, info, submit, until};
 use work::Outcome;
 
@@ -45,7 +45,7 @@
     let cell = cell();
     (0..2).for_each(|number| bear(&cell, number, 1000));
     let hosts = hosts(&cell, 1).await;
-    cell.conduct(Conduct { takes: PATIENCE, how: How::Done });
+    cell.conduct(Conduct { takes: PATIENCE, how: RunOutcome::Done });
     assert_eq!(submit(&hosts[0], 7, 1).await, Answer::Accepted);
     let bearing = async {
         for starts in 1..=MOST_STARTS {
--- a/components/entry/tests/support/mod.rs
+++ b/components/entry/tests/support/mod.rs
@@ -9,7 +9,7 @@
 use entry::{Answer, Call, Caller, Host, Role};
 use fakes::cell::Cell;
 use model::Resources;
-use sched::Info;
+use sched::WorkerInfo;
 use work::{Config, Job, JobId, Outcome, Queue, State, Step};
 
 /// Only a broken test waits so long.
@@ -40,8 +40,8 @@
 }
 
 /// What worker `number` says of itself.
-pub fn info(number: usize) -> Info {
-    Info {
+pub fn info(number: usize) -> WorkerInfo {
+    WorkerInfo {
         address: format!("10.0.0.{number}:80"),
         pool: "pool".to_owned(),
         zone: "zone".to_owned(),
--- a/components/entry/tests/takeover.rs
+++ b/components/entry/tests/takeover.rs
@@ -8,7 +8,7 @@
 use entry::{Answer, Role};
 use fakes::cell::{Cell, Conduct};
 use model::Resources;
-use sched::{How, Info};
+use sched::{RunOutcome, WorkerInfo};
 use support::{cell, ends, hosts, info, leads, submit, until};
 use work::{Outcome, WorkerId};
 
@@ -28,11 +28,11 @@
 async fn before_takeover(workers: usize) -> (Arc<Cell>, Vec<Arc<entry::Host>>) {
     let cell = Cell::new(support::config(1));
     (0..workers).for_each(|number| {
-        cell.add_worker(&format!("w{number:04}"), Info { capacity: room(number, workers), ..info(number) })
+        cell.add_worker(&format!("w{number:04}"), WorkerInfo { capacity: room(number, workers), ..info(number) })
     });
     let hosts = hosts(&cell, 2).await;
     until("all workers are called", || cell.first_calls(1).len() == workers).await;
-    cell.conduct(Conduct { takes: Duration::from_secs(3), how: How::Done });
+    cell.conduct(Conduct { takes: Duration::from_secs(3), how: RunOutcome::Done });
     assert_eq!(submit(&hosts[1], 7, 20).await, Answer::Accepted);
     until("all tasks run", || cell.starts().len() == 20).await;
     (cell, hosts)
--- a/components/fakes/src/cell.rs
+++ b/components/fakes/src/cell.rs
@@ -13,7 +13,7 @@
 use async_trait::async_trait;
 use entry::{Change, Commit, Edges, Fault, Item, LeaseId, Read, Settings, Transaction};
 use parking_lot::Mutex;
-use sched::{How, Info, Limits};
+use sched::{Limits, RunOutcome, WorkerInfo};
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::time::Instant;
@@ -28,7 +28,7 @@
     /// How long it takes.
     pub takes: Duration,
     /// How it ends.
-    pub how: How,
+    pub how: RunOutcome,
 }
 
 /// A value in the store.
@@ -104,7 +104,7 @@
             changed: watch::Sender::new(0),
             began: Instant::now(),
             suspensions: Mutex::new(BTreeMap::new()),
-            conduct: Mutex::new(Conduct { takes: Duration::ZERO, how: How::Done }),
+            conduct: Mutex::new(Conduct { takes: Duration::ZERO, how: RunOutcome::Done }),
             range_takes: Mutex::new(Duration::ZERO),
             start_takes: Mutex::new(Duration::ZERO),
             commit_takes: Mutex::new(Duration::ZERO),
@@ -147,12 +147,12 @@
     }
 
     /// Adds a worker, or another life of one that keeps its name, whose birth isn't told.
-    pub fn add_worker(&self, name: &str, info: Info) {
+    pub fn add_worker(&self, name: &str, info: WorkerInfo) {
         self.add_life(name, info, None);
     }
 
     /// The same with its birth.
-    pub fn add_life(&self, name: &str, info: Info, born: Option<u64>) {
+    pub fn add_life(&self, name: &str, info: WorkerInfo, born: Option<u64>) {
         let runner = Runner { born, info: info.clone(), ..Runner::new(info.address, info.capacity) };
         self.state.lock().workers.insert(name.to_owned(), runner);
     }
@@ -429,7 +429,7 @@
         self.wait(revision, wait).await
     }
 
-    async fn workers(&self) -> Result<BTreeMap<WorkerId, Info>, Fault> {
+    async fn workers(&self) -> Result<BTreeMap<WorkerId, WorkerInfo>, Fault> {
         assert!(
             !std::mem::take(&mut self.cell.state.lock().broken_list),
             "the list breaks its reader, as a test wants it"
--- a/components/fakes/src/runner.rs
+++ b/components/fakes/src/runner.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use model::Resources;
-use sched::{End, How, Info, Running};
+use sched::{End, RunOutcome, Running, WorkerInfo};
 use work::{Attempt, Task, Term};
 
 /// What a runner makes of an order.
@@ -27,14 +27,14 @@
     /// When it ends.
     pub ends: Duration,
     /// How it ends.
-    pub how: How,
+    pub how: RunOutcome,
 }
 
 /// One life of a worker.
 #[derive(Clone, Debug)]
 pub struct Runner {
     /// What it says of itself.
-    pub info: Info,
+    pub info: WorkerInfo,
     /// When it started, in milliseconds since 1970, where the platform tells.
     pub born: Option<u64>,
     /// Whether orders and renewals reach it.
@@ -56,7 +56,7 @@
 impl Runner {
     /// An empty one.
     pub fn new(address: String, capacity: Resources) -> Runner {
-        let info = Info {
+        let info = WorkerInfo {
             address,
             pool: "pool".to_owned(),
             zone: "zone".to_owned(),
@@ -108,7 +108,7 @@
         let settled = self.settled.entry(task).or_default();
         *settled = attempt.max(*settled);
         if self.runs.remove(&(task, attempt)).is_some() {
-            self.end(task, attempt, How::Stopped);
+            self.end(task, attempt, RunOutcome::Stopped);
         }
         Reply::Done
     }
@@ -129,7 +129,7 @@
         Ok((running.collect(), self.ended.clone()))
     }
 
-    fn end(&mut self, task: Task, attempt: Attempt, how: How) {
+    fn end(&mut self, task: Task, attempt: Attempt, how: RunOutcome) {
         self.numbers += 1;
         let settled = self.settled.entry(task).or_default();
         *settled = attempt.max(*settled);
@@ -137,13 +137,13 @@
     }
 
     /// Ends what is due, and everything once the lease is over.
-    pub fn tick(&mut self, now: Duration) -> Vec<(Task, Attempt, How)> {
+    pub fn tick(&mut self, now: Duration) -> Vec<(Task, Attempt, RunOutcome)> {
         let lapsed = now > self.lease;
         let due: Vec<_> = self
             .runs
             .iter()
             .filter(|(_, run)| lapsed || run.ends <= now)
-            .map(|(key, run)| (key.0, key.1, if run.ends <= now { run.how } else { How::Lapsed }))
+            .map(|(key, run)| (key.0, key.1, if run.ends <= now { run.how } else { RunOutcome::Lapsed }))
             .collect();
         for (task, attempt, how) in &due {
             self.runs.remove(&(*task, *attempt));
--- a/components/sched/examples/backlog.rs
+++ b/components/sched/examples/backlog.rs
@@ -60,7 +60,7 @@
 fn full(clock: Clock, workers: usize) -> Engine {
     let mut engine = cell::engine(queues());
     let infos = cell::workers(workers);
-    engine.list(clock, infos.clone());
+    engine.update_workers(clock, infos.clone());
     cell::write(&mut engine, clock);
     let empty = Report { mark: engine.mark(), running: Vec::new(), ended: Vec::new() };
     for id in infos.keys() {
@@ -77,7 +77,7 @@
     cell::write(engine, clock);
     for action in engine.take_actions() {
         if let Action::Start(worker, start) = action {
-            engine.ordered(clock, &worker, start.task, start.attempt, OrderOutcome::Started);
+            engine.start_answered(clock, &worker, start.task, start.attempt, OrderOutcome::Started);
         }
     }
 }
@@ -98,7 +98,7 @@
         if let Action::Ask(question) = action {
             let healthy = question.workers.iter().filter(|worker| allowed(worker));
             let tickets = cell::tickets(healthy, clock.now + question.validity);
-            engine.advised(question.unit, &question.workers, tickets);
+            engine.advice_received(question.unit, &question.workers, tickets);
         }
     }
 }
--- a/components/sched/examples/cell/mod.rs
+++ b/components/sched/examples/cell/mod.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use model::Resources;
-use sched::{Clock, Engine, Info, Limits, Ticket};
+use sched::{Clock, Engine, Limits, Ticket, WorkerInfo};
 use work::{Advice, Config, Job, Queue, Step, WorkerId};
 
 /// CPU of a worker, in thousandths of a core.
@@ -27,12 +27,12 @@
 }
 
 /// The list of so many workers.
-pub fn workers(count: usize) -> BTreeMap<WorkerId, Info> {
+pub fn workers(count: usize) -> BTreeMap<WorkerId, WorkerInfo> {
     (0..count).map(|number| (format!("worker-{number:05}"), info(number))).collect()
 }
 
-fn info(number: usize) -> Info {
-    Info {
+fn info(number: usize) -> WorkerInfo {
+    WorkerInfo {
         address: format!("10.0.0.{number}:1"),
         pool: "pool".to_owned(),
         zone: "zone".to_owned(),
--- a/components/sched/examples/flow.rs
+++ b/components/sched/examples/flow.rs
@@ -6,7 +6,9 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use sched::{Action, Clock, End, Engine, How, Info, OrderOutcome, Owner, Question, Report, Running, Start};
+use sched::{
+    Action, Clock, End, Engine, OrderOutcome, Owner, Question, Report, RunOutcome, Running, Start, WorkerInfo,
+};
 use work::{Advice, Job, JobId, Queue, WorkerId};
 
 /// Workers of the cells that are measured.
@@ -64,7 +66,7 @@
 struct Cell {
     engine: Engine,
     clock: Clock,
-    infos: BTreeMap<WorkerId, Info>,
+    infos: BTreeMap<WorkerId, WorkerInfo>,
     workers: BTreeMap<WorkerId, Worker>,
     spent: Spent,
 }
@@ -82,7 +84,7 @@
         let clock = cell::start();
         let mut engine = cell::engine(vec![queue()]);
         let infos = cell::workers(count);
-        engine.list(clock, infos.clone());
+        engine.update_workers(clock, infos.clone());
         let workers = infos.keys().map(|id| (id.clone(), Worker::default())).collect();
         let mut cell = Cell { engine, clock, infos, workers, spent: Spent::default() };
         cell.write();
@@ -122,7 +124,7 @@
 
     fn list(&mut self) {
         let (clock, infos) = (self.clock, self.infos.clone());
-        timed(&mut self.spent.list, || self.engine.list(clock, infos));
+        timed(&mut self.spent.list, || self.engine.update_workers(clock, infos));
     }
 
     /// Renews workers on which a run has ended, and all others now and then.
@@ -144,7 +146,13 @@
         worker.runs = running;
         let ended = over.iter().map(|(start, _)| {
             worker.ends += 1;
-            End { number: worker.ends, task: start.task, attempt: start.attempt, how: How::Done, saved: String::new() }
+            End {
+                number: worker.ends,
+                task: start.task,
+                attempt: start.attempt,
+                how: RunOutcome::Done,
+                saved: String::new(),
+            }
         });
         let ended = ended.collect();
         let running = worker.runs.iter().map(|(start, _)| Running {
@@ -180,7 +188,7 @@
         if let Some(there) = self.workers.get_mut(worker) {
             there.runs.push((start, clock.now + TAKES));
         }
-        let ordered = || self.engine.ordered(clock, worker, task, attempt, OrderOutcome::Started);
+        let ordered = || self.engine.start_answered(clock, worker, task, attempt, OrderOutcome::Started);
         timed(&mut self.spent.rest, ordered);
     }
 
@@ -188,7 +196,7 @@
     fn advise(&mut self, question: &Question) {
         let healthy = question.workers.iter().step_by(ALLOWED);
         let tickets = cell::tickets(healthy, self.clock.now + question.validity);
-        timed(&mut self.spent.advice, || self.engine.advised(question.unit, &question.workers, tickets));
+        timed(&mut self.spent.advice, || self.engine.advice_received(question.unit, &question.workers, tickets));
     }
 }
 
--- a/components/sched/src/advice.rs
+++ b/components/sched/src/advice.rs
@@ -87,7 +87,7 @@
 
 impl Engine {
     /// Takes in the adviser's answer: who of `asked` may run the unit.
-    pub fn advised(&mut self, unit: Unit, asked: &[WorkerId], healthy: Vec<(WorkerId, Ticket)>) {
+    pub fn advice_received(&mut self, unit: Unit, asked: &[WorkerId], healthy: Vec<(WorkerId, Ticket)>) {
         self.count_shares(unit, asked, &healthy);
         let Some(state) = self.unit_mut(unit) else { return };
         state.known.answered(asked);
@@ -97,7 +97,7 @@
     }
 
     /// A question about `asked` got no answer.
-    pub fn unadvised(&mut self, unit: Unit, asked: &[WorkerId]) {
+    pub fn advice_failed(&mut self, unit: Unit, asked: &[WorkerId]) {
         if let Some(state) = self.unit_mut(unit) {
             state.known.answered(asked);
         }
--- a/components/sched/src/assemble.rs
+++ b/components/sched/src/assemble.rs
@@ -11,7 +11,7 @@
 
 use crate::engine::{Clock, Engine};
 use crate::entry::UnitState;
-use crate::preempt::{Claim, MadeRoom, stoppable, weight};
+use crate::preempt::{Claim, Preemption, stoppable, weight};
 use crate::room::{Place, Room};
 use crate::worker::{Doubt, Phase, Worker};
 
@@ -123,7 +123,7 @@
             state.claims = claims;
         }
         for (worker, runs) in stops.into_iter().filter(|(_, runs)| !runs.is_empty()) {
-            self.made_room.push(MadeRoom { unit, worker: worker.clone(), stopped: runs.len() });
+            self.preemptions.push(Preemption { unit, worker: worker.clone(), stopped: runs.len() });
             runs.into_iter().for_each(|(task, attempt)| self.stop_run(&worker, task, attempt));
         }
     }
--- a/components/sched/src/blame.rs
+++ b/components/sched/src/blame.rs
@@ -12,7 +12,7 @@
 
 use crate::engine::{Clock, Engine};
 use crate::entry::{Phase, TaskState, UnitState};
-use crate::loss::{Ended, Lost, Passing};
+use crate::loss::{EndedWorker, LostRun, WorkerEndReason};
 
 /// A task is given up once it alone can have taken so many workers down. The platform would let two do: but a start that a worker had just
 /// answered when it went down for a reason of its own looks the same, and twice is no rare chance.
@@ -96,35 +96,39 @@
 /// Only another life at its address, or a run that its lists lack, shows for certain that a worker went down: one that is cut off for long
 /// is taken for gone, too. One that had announced its end took along what it ran. Where a suspect was tried, that explains what happened to
 /// runs that had begun before.
-fn evidence(ended: &Ended, lost: &Lost) -> Option<Evidence> {
-    if lost.lasting && lost.shown && lost.age >= SERVED {
+fn evidence(ended: &EndedWorker, lost: &LostRun) -> Option<Evidence> {
+    if lost.lasting && lost.seen_running && lost.age >= SERVED {
         return Some(Evidence::Cleared);
     }
-    if lost.shown {
+    if lost.seen_running {
         return (!ended.draining && !lost.explained).then_some(Evidence::Weak);
     }
-    match ended.passing {
-        Passing::Replaced | Passing::Followed | Passing::Restarted if ended.draining => Some(Evidence::Weak),
-        Passing::Replaced | Passing::Followed | Passing::Restarted if lost.sole && lost.confirmed => {
+    match ended.reason {
+        WorkerEndReason::Replaced | WorkerEndReason::Followed | WorkerEndReason::Restarted if ended.draining => {
+            Some(Evidence::Weak)
+        }
+        WorkerEndReason::Replaced | WorkerEndReason::Followed | WorkerEndReason::Restarted
+            if lost.sole && lost.confirmed =>
+        {
             Some(Evidence::Sole)
         }
-        Passing::Replaced | Passing::Followed | Passing::Restarted => Some(Evidence::Shared),
-        Passing::Unlisted | Passing::Unseen => Some(Evidence::Weak),
+        WorkerEndReason::Replaced | WorkerEndReason::Followed | WorkerEndReason::Restarted => Some(Evidence::Shared),
+        WorkerEndReason::Unlisted | WorkerEndReason::Unseen => Some(Evidence::Weak),
     }
 }
 
 impl Engine {
     /// Takes note that a worker is silent under which these runs may have taken it down: not those that it had listed for a moment.
-    pub(crate) fn doubt(&mut self, left: &[Lost]) {
+    pub(crate) fn doubt(&mut self, left: &[LostRun]) {
         self.count_silent(left, |silent| silent + 1);
     }
 
     /// Takes that back: the worker has answered, or is known to have ended.
-    pub(crate) fn undoubt(&mut self, left: &[Lost]) {
+    pub(crate) fn undoubt(&mut self, left: &[LostRun]) {
         self.count_silent(left, |silent| silent.saturating_sub(1));
     }
 
-    fn count_silent(&mut self, left: &[Lost], change: impl Fn(usize) -> usize) {
+    fn count_silent(&mut self, left: &[LostRun], change: impl Fn(usize) -> usize) {
         for lost in left.iter().filter(|lost| lost.may_have_begun_last()) {
             if let Some(state) = self.task_mut(lost.task) {
                 state.silent = change(state.silent);
@@ -133,11 +137,11 @@
     }
 
     /// Holds the end of a worker against the tasks that were there, each once. The jobs that are to be given up for it.
-    pub(crate) fn hold_against(&mut self, ended: &mut Ended) -> BTreeSet<JobId> {
+    pub(crate) fn hold_against(&mut self, ended: &mut EndedWorker) -> BTreeSet<JobId> {
         let mut spent = BTreeSet::new();
         let mut held = BTreeSet::new();
         for index in 0..ended.runs.len() {
-            let Lost { task, attempt, .. } = ended.runs[index];
+            let LostRun { task, attempt, .. } = ended.runs[index];
             let Some(evidence) = evidence(ended, &ended.runs[index]) else { continue };
             let Some(state) = self.open_task(task) else { continue };
             let worker = ended.worker.clone();
--- a/components/sched/src/ends.rs
+++ b/components/sched/src/ends.rs
@@ -8,7 +8,7 @@
 use crate::engine::{Clock, Engine};
 use crate::entry::{self, Begun, Placement};
 use crate::quota::Charge;
-use crate::worker::{Contact, End, FAILURES_IN_A_ROW, How, Phase, Report, Run, Running};
+use crate::worker::{Contact, End, FAILURES_IN_A_ROW, Phase, Report, Run, RunOutcome, Running};
 
 impl Engine {
     /// Takes in a worker's answer to a renewal under this reign's term. Whether it shows that the worker has started again.
@@ -43,9 +43,9 @@
             self.keep_saved(end.task, &end.saved);
         }
         match end.how {
-            How::Done => self.done(clock, id, end.task, end.attempt),
-            How::Failed => self.failed(clock, id, end.task, end.attempt),
-            How::Stopped | How::Lapsed | How::Broken | How::Alone => {}
+            RunOutcome::Done => self.done(clock, id, end.task, end.attempt),
+            RunOutcome::Failed => self.failed(clock, id, end.task, end.attempt),
+            RunOutcome::Stopped | RunOutcome::Lapsed | RunOutcome::Broken | RunOutcome::Alone => {}
         }
         self.release(clock, id, end.task, end.attempt);
         let position = self.position();
@@ -197,7 +197,7 @@
             decided: clock.now,
             begun: Some(clock.now),
             listed: true,
-            shown: true,
+            seen_running: true,
             suspect: false,
         };
         worker.take(row.task, row.attempt, run);
--- a/components/sched/src/engine.rs
+++ b/components/sched/src/engine.rs
@@ -12,9 +12,9 @@
 use crate::assemble::Patience;
 use crate::entry::{Accepted, Begun, Ended, Entry, Phase, TaskState, UnitState};
 use crate::latency::Latency;
-use crate::limits::{AUTHORITY, Limits};
-use crate::loss::{self, Passing};
-use crate::preempt::MadeRoom;
+use crate::limits::{AUTHORITY_TIMEOUT, Limits};
+use crate::loss::{EndedWorker, WorkerEndReason};
+use crate::preempt::Preemption;
 use crate::questions::Question;
 use crate::quota::Quota;
 use crate::rank::objective;
@@ -95,7 +95,7 @@
 const LONGEST_BUSY_PAUSE: Duration = Duration::from_secs(2);
 /// Time between two renewals of a busy worker on small fleets: a cut of 5.5 s must leave a lease of 6 s alive. The bounds of silence
 /// and standstill reckon with it.
-pub const USUAL_PAUSE: Duration = Duration::from_millis(400);
+pub const RENEWAL_INTERVAL: Duration = Duration::from_millis(400);
 /// Attempts of one task in one reign; a term's attempts are all above those of the terms before.
 const ATTEMPTS_A_TERM: u64 = 1000;
 
@@ -137,11 +137,11 @@
     pub(crate) room: Room,
     pub(crate) actions: Vec<Action>,
     /// Room that was made and isn't logged yet.
-    pub(crate) made_room: Vec<MadeRoom>,
+    pub(crate) preemptions: Vec<Preemption>,
     /// Jobs of which nothing runs; see [`crate::stall`].
     pub(crate) idle_since: BTreeMap<JobId, Idle>,
     /// Workers whose end isn't logged yet.
-    pub(crate) ended_workers: Vec<loss::Ended>,
+    pub(crate) ended_workers: Vec<EndedWorker>,
     /// Starts whose records aren't durable yet, by position.
     pub(crate) decided: VecDeque<(u64, WorkerId, Start)>,
     /// Records that the log hasn't taken yet, by position.
@@ -163,7 +163,7 @@
             limits,
             term,
             reign: now,
-            predecessor: AUTHORITY,
+            predecessor: AUTHORITY_TIMEOUT,
             reconfigured: false,
             queues: by_name(&config),
             most_urgent: most_urgent(&config),
@@ -181,7 +181,7 @@
             quota,
             room: Room::default(),
             actions: Vec::new(),
-            made_room: Vec::new(),
+            preemptions: Vec::new(),
             idle_since: BTreeMap::new(),
             ended_workers: Vec::new(),
             decided: VecDeque::new(),
@@ -194,7 +194,7 @@
 
     /// Nothing is known of the leader before: it may be of a version that gives longer leases.
     pub fn predecessor_unknown(&mut self) {
-        self.predecessor = AUTHORITY + self.limits.longer_before();
+        self.predecessor = AUTHORITY_TIMEOUT + self.limits.longer_before();
     }
 
     /// The leader before gives no leases any more, as is known since `now`.
@@ -222,16 +222,16 @@
     /// How long the renewals of a worker on which something runs may be apart, at least as long as usual.
     pub fn busy_pause(&self) -> Duration {
         let busy = self.workers.values().filter(|worker| !worker.runs.is_empty()).count();
-        Duration::from_secs_f64(busy as f64 / BUSY_RENEWALS_A_SECOND).clamp(USUAL_PAUSE, LONGEST_BUSY_PAUSE)
+        Duration::from_secs_f64(busy as f64 / BUSY_RENEWALS_A_SECOND).clamp(RENEWAL_INTERVAL, LONGEST_BUSY_PAUSE)
     }
 
     /// How far apart renewals are, beyond what the bounds of silence and standstill reckon with.
     pub(crate) fn pauses(&self) -> Pauses {
-        Pauses { idle: self.idle_pause(), busy: self.busy_pause() - USUAL_PAUSE }
+        Pauses { idle: self.idle_pause(), busy: self.busy_pause() - RENEWAL_INTERVAL }
     }
 
     /// Whether nothing runs on a worker, as far as is known.
-    pub fn idle(&self, worker: &str) -> bool {
+    pub fn is_worker_idle(&self, worker: &str) -> bool {
         self.workers.get(worker).is_none_or(|worker| worker.runs.is_empty())
     }
 
@@ -353,11 +353,11 @@
     }
 
     /// A worker's leases have surely run out.
-    pub fn lapsed(&mut self, clock: Clock, id: &str) {
+    pub fn leases_expired(&mut self, clock: Clock, id: &str) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         worker.contact = Contact::Lapsed;
         if worker.missing.is_some() {
-            return self.gone(clock, id, Passing::Unlisted);
+            return self.gone(clock, id, WorkerEndReason::Unlisted);
         }
         // It may turn out to have ended then.
         let heard = worker.heard;
@@ -390,7 +390,7 @@
     }
 
     /// Forgets ended jobs whose state need not be told any more.
-    pub fn forget(&mut self, now: Duration) {
+    pub fn forget_ended_jobs(&mut self, now: Duration) {
         let keep = self.limits.keep_ended;
         self.jobs.retain(|_, entry| entry.outcome.is_none_or(|ended| now.saturating_sub(ended.at) < keep));
     }
@@ -418,7 +418,7 @@
     }
 
     /// Whether a job is still kept.
-    pub fn keeps(&self, id: JobId) -> bool {
+    pub fn has_job(&self, id: JobId) -> bool {
         self.jobs.contains_key(&id)
     }
 }
--- a/components/sched/src/handover.rs
+++ b/components/sched/src/handover.rs
@@ -65,7 +65,7 @@
 
     /// Whether a worker's life follows another under its name. A lease that was meant for that one may have been given there, by the next
     /// life's clock: as long as workers take any.
-    pub fn follows(&self, id: &str) -> bool {
+    pub fn follows_earlier_life(&self, id: &str) -> bool {
         self.workers.get(id).is_some_and(|worker| worker.follows)
     }
 
--- a/components/sched/src/latency.rs
+++ b/components/sched/src/latency.rs
@@ -40,17 +40,17 @@
 
     /// A call had no answer in time: the next one is waited for twice as long, or answers that have become slow would never be
     /// learnt of.
-    pub fn miss(&mut self) {
+    pub fn record_timeout(&mut self) {
         self.missed += 1;
     }
 
     /// How long an answer usually takes; `None` before the first one.
-    pub fn usual(&self) -> Option<Duration> {
+    pub fn smoothed(&self) -> Option<Duration> {
         self.known.map(|known| Duration::from_secs_f64(known.time))
     }
 
     /// How long to wait for the next answer, within these bounds; the longest while nothing is known.
-    pub fn patience(&self, least: Duration, most: Duration) -> Duration {
+    pub fn timeout(&self, least: Duration, most: Duration) -> Duration {
         let Some(Smoothed { time, deviation }) = self.known else { return most };
         let usual = Duration::from_secs_f64(time + DEVIATIONS * deviation).clamp(least, most);
         usual.saturating_mul(2u32.saturating_pow(self.missed)).min(most)
--- a/components/sched/src/lease.rs
+++ b/components/sched/src/lease.rs
@@ -18,21 +18,21 @@
 
 impl Lease {
     /// The end for a lease given now, on the worker's clock; `None` before its clock is known.
-    pub fn end(&self, now: Duration, lease: Duration) -> Option<Duration> {
+    pub fn expiry(&self, now: Duration, lease: Duration) -> Option<Duration> {
         let (clock, at) = self.reading?;
         Some(clock + now.saturating_sub(at) + lease)
     }
 
     /// Takes note of a lease that may have reached the worker. One that surely didn't is not given.
-    pub fn gave(&mut self, end: Duration) {
+    pub fn grant(&mut self, end: Duration) {
         self.until = self.until.max(end);
     }
 
     /// Takes note of the worker's clock. At the first contact the leader before may just have given a lease as long as
     /// `inherited`.
-    pub fn read(&mut self, clock: Duration, now: Duration, inherited: Duration) {
+    pub fn observe_clock(&mut self, clock: Duration, now: Duration, inherited: Duration) {
         if self.reading.is_none() {
-            self.gave(clock + inherited);
+            self.grant(clock + inherited);
         }
         if self.reading.is_none_or(|(latest, _)| clock >= latest) {
             self.reading = Some((clock, now));
@@ -40,7 +40,7 @@
     }
 
     /// Whether every lease has surely run out.
-    pub fn lapsed(&self, now: Duration) -> bool {
+    pub fn is_expired(&self, now: Duration) -> bool {
         let Some((clock, at)) = self.reading else { return false };
         let least = clock + now.saturating_sub(at + LAPSE_MARGIN).mul_f64(SLOWEST);
         least > self.until
--- a/components/sched/src/limits.rs
+++ b/components/sched/src/limits.rs
@@ -24,7 +24,7 @@
 
 /// How long after its last confirmation a leader may still give orders. Until then the next one does not repeat what
 /// an unreachable worker may run. Long enough for the store's usual outages of 4 to 7 s.
-pub const AUTHORITY: Duration = Duration::from_secs(7);
+pub const AUTHORITY_TIMEOUT: Duration = Duration::from_secs(7);
 /// A worker's clock may run this much slow: leases last so much longer by ours.
 pub(crate) const CLOCK_SLACK: f64 = 1.02;
 /// Added to the time after which an unreachable worker's tasks have surely ended: covers timers that fire late.
@@ -60,7 +60,7 @@
     ///
     /// Always reckoning with the longest that workers take, a lasting task on a worker that is gone after a takeover would come back
     /// too late.
-    pub fn inherited(&self, predecessor_known: bool) -> Duration {
+    pub fn predecessor_lease(&self, predecessor_known: bool) -> Duration {
         if predecessor_known { self.lease } else { self.max_lease }
     }
 
--- a/components/sched/src/list.rs
+++ b/components/sched/src/list.rs
@@ -9,9 +9,9 @@
 use work::{Life, Record, WorkerId};
 
 use crate::engine::{Action, Clock, Engine};
-use crate::loss::{Ended, Passing};
+use crate::loss::{EndedWorker, WorkerEndReason};
 use crate::restore::unlisted;
-use crate::worker::{Info, Worker};
+use crate::worker::{Worker, WorkerInfo};
 
 /// What an entry says of the workers that are known.
 enum Entry {
@@ -27,7 +27,7 @@
 
 impl Engine {
     /// Takes the platform's list of workers.
-    pub fn list(&mut self, clock: Clock, listed: BTreeMap<WorkerId, Info>) {
+    pub fn update_workers(&mut self, clock: Clock, listed: BTreeMap<WorkerId, WorkerInfo>) {
         self.superseded.retain(|id| listed.contains_key(id));
         let mut present = BTreeMap::new();
         for (id, info) in listed {
@@ -67,7 +67,7 @@
     }
 
     /// Takes the lives that are listed now. Those without an entry of their own stay as they are.
-    fn take_list(&mut self, clock: Clock, present: BTreeMap<WorkerId, Option<Info>>) {
+    fn take_list(&mut self, clock: Clock, present: BTreeMap<WorkerId, Option<WorkerInfo>>) {
         for (id, worker) in &mut self.workers {
             match present.contains_key(id) {
                 true => worker.missing = None,
@@ -90,14 +90,14 @@
                 self.enlist(clock, id, info);
             }
         }
-        followed.iter().for_each(|id| self.gone(clock, id, Passing::Followed));
+        followed.iter().for_each(|id| self.gone(clock, id, WorkerEndReason::Followed));
     }
 
     /// Lives without an entry that a later life under their name, or at their address, has followed.
     ///
     /// An entry may be missing, late or of a former life while its worker goes on: only births, which one machine's clock tells, prove which
     /// life came first. Where none is told the address itself shows by its next answer which life is there.
-    fn followed(&self, present: &BTreeMap<WorkerId, Option<Info>>) -> Vec<WorkerId> {
+    fn followed(&self, present: &BTreeMap<WorkerId, Option<WorkerInfo>>) -> Vec<WorkerId> {
         let missing: Vec<(&WorkerId, &Worker)> =
             self.workers.iter().filter(|(id, _)| !present.contains_key(*id)).collect();
         if missing.is_empty() {
@@ -120,7 +120,7 @@
     }
 
     /// Whether an entry is that of a life that was known to be over before another one was found at its address.
-    fn is_former(&self, id: &str, info: &Info) -> bool {
+    fn is_former(&self, id: &str, info: &WorkerInfo) -> bool {
         let held = || self.workers.iter().rev().find(|(_, worker)| worker.info.address == info.address);
         self.departed.contains(id) && held().is_some_and(|(other, _)| other != id)
     }
@@ -131,11 +131,11 @@
     }
 
     /// Takes in one worker of the list.
-    fn enlist(&mut self, clock: Clock, id: WorkerId, info: Info) {
+    fn enlist(&mut self, clock: Clock, id: WorkerId, info: WorkerInfo) {
         if let Some(worker) = self.workers.get_mut(&id) {
             worker.missing = None;
             // A worker that is leaving never stays after all.
-            let info = Info { draining: worker.info.draining || info.draining, ..info };
+            let info = WorkerInfo { draining: worker.info.draining || info.draining, ..info };
             if *worker.info != info {
                 worker.info = Arc::new(info);
                 worker.recount();
@@ -146,13 +146,13 @@
     }
 
     /// Takes in a worker that wasn't known; it gets orders once its record is written.
-    pub(crate) fn record_worker(&mut self, clock: Clock, id: WorkerId, info: Info) {
+    pub(crate) fn record_worker(&mut self, clock: Clock, id: WorkerId, info: WorkerInfo) {
         let position = self.record(Record::Worker { id: id.clone(), address: info.address.clone() });
         self.workers.insert(id, Worker::new(info, None, position, clock.now));
     }
 
     /// A worker's life is over: nothing runs there. That is held against the tasks that were there before anything of them starts again.
-    pub(crate) fn gone(&mut self, clock: Clock, id: &str, passing: Passing) {
+    pub(crate) fn gone(&mut self, clock: Clock, id: &str, reason: WorkerEndReason) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         let (heard, draining) = (worker.heard, worker.info.draining);
         let silent = clock.now.saturating_sub(heard);
@@ -160,7 +160,7 @@
         self.undoubt(&runs);
         runs.extend(self.losses(id, heard));
         let next = self.namesake(id).filter(|next| next != id);
-        let mut ended = Ended { worker: id.to_owned(), passing, silent, draining, runs, next: next.clone() };
+        let mut ended = EndedWorker { worker: id.to_owned(), reason, silent, draining, runs, next: next.clone() };
         let unsettled = self.unsettled(id);
         self.vacate(clock, id);
         let spent = self.hold_against(&mut ended);
@@ -177,13 +177,13 @@
 
     /// Another life is at the worker's address; `next` is its id if it goes by the same name. That one's entry may be still to come: until
     /// then it is only held.
-    pub fn superseded(&mut self, clock: Clock, id: &str, next: Option<WorkerId>) {
+    pub fn worker_replaced(&mut self, clock: Clock, id: &str, next: Option<WorkerId>) {
         let Some(worker) = self.workers.get(id) else { return };
         let address = worker.info.address.clone();
         if let Some(next) = next.filter(|next| !self.workers.contains_key(next)) {
-            self.record_worker(clock, next, Info { address, ..unlisted() });
+            self.record_worker(clock, next, WorkerInfo { address, ..unlisted() });
         }
-        self.gone(clock, id, Passing::Replaced);
+        self.gone(clock, id, WorkerEndReason::Replaced);
         self.superseded.insert(id.to_owned());
     }
 }
--- a/components/sched/src/loss.rs
+++ b/components/sched/src/loss.rs
@@ -10,7 +10,7 @@
 
 /// How a worker's life was learnt to be over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Passing {
+pub enum WorkerEndReason {
     /// Another life has answered at its address.
     Replaced,
     /// The platform's list shows a life that was born later, under its name or at its address.
@@ -23,39 +23,39 @@
     Restarted,
 }
 
-impl Passing {
+impl WorkerEndReason {
     /// Its name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
-            Passing::Replaced => "replaced",
-            Passing::Followed => "followed",
-            Passing::Unlisted => "unlisted",
-            Passing::Unseen => "unseen",
-            Passing::Restarted => "restarted",
+            WorkerEndReason::Replaced => "replaced",
+            WorkerEndReason::Followed => "followed",
+            WorkerEndReason::Unlisted => "unlisted",
+            WorkerEndReason::Unseen => "unseen",
+            WorkerEndReason::Restarted => "restarted",
         }
     }
 }
 
 /// A worker's life that is over.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ended {
+pub struct EndedWorker {
     /// The worker.
     pub worker: WorkerId,
     /// How that was learnt.
-    pub passing: Passing,
+    pub reason: WorkerEndReason,
     /// Time since its last answer.
     pub silent: Duration,
     /// Whether it had announced that it would leave.
     pub draining: bool,
     /// Runs that were there, or may have been, when it last answered or later.
-    pub runs: Vec<Lost>,
+    pub runs: Vec<LostRun>,
     /// The life that follows it under its name, if that is known.
     pub next: Option<WorkerId>,
 }
 
 /// A run that went with its worker.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Lost {
+pub struct LostRun {
     /// The task.
     pub task: Task,
     /// The run; 0 where an earlier leader ordered it and its number isn't known.
@@ -63,7 +63,7 @@
     /// From the decision to start it to the worker's last answer; zero if that answer came before.
     pub age: Duration,
     /// Whether the worker has listed it when it had run for a moment.
-    pub shown: bool,
+    pub seen_running: bool,
     /// Whether it had certainly begun: this leader has had an answer to its start, or has seen it listed.
     pub begun: bool,
     /// Whether its start was answered and no stop was ordered.
@@ -82,7 +82,7 @@
     pub given_up: bool,
 }
 
-impl Lost {
+impl LostRun {
     /// Which run it is.
     pub(crate) fn key(&self) -> (Task, Attempt) {
         (self.task, self.attempt)
@@ -90,16 +90,16 @@
 
     /// Whether it may have begun a moment before its worker fell silent.
     pub(crate) fn may_have_begun_last(&self) -> bool {
-        !self.shown || !self.begun
+        !self.seen_running || !self.begun
     }
 
     /// A task that an earlier leader placed on a worker from which nothing has been heard since.
-    pub(crate) fn inherited(task: Task, attempt: Attempt) -> Lost {
-        Lost {
+    pub(crate) fn inherited(task: Task, attempt: Attempt) -> LostRun {
+        LostRun {
             task,
             attempt,
             age: Duration::ZERO,
-            shown: true,
+            seen_running: true,
             begun: false,
             confirmed: false,
             sole: false,
@@ -114,7 +114,7 @@
 
 impl Engine {
     /// What goes with a worker that was last heard at this time: its runs, but for starts that weren't sent.
-    pub(crate) fn losses(&self, id: &str, heard: Duration) -> Vec<Lost> {
+    pub(crate) fn losses(&self, id: &str, heard: Duration) -> Vec<LostRun> {
         let Some(worker) = self.workers.get(id) else { return Vec::new() };
         let sent: Vec<(Task, Attempt, &Run)> = worker
             .runs
@@ -122,22 +122,23 @@
             .map(|((task, attempt), run)| (*task, *attempt, run))
             .filter(|(task, attempt, run)| run.phase != Phase::Starting || !self.is_unsent(id, *task, *attempt))
             .collect();
-        let new: BTreeSet<JobId> = sent.iter().filter(|(.., run)| !run.shown).map(|(task, ..)| task.unit.job).collect();
-        let lost = |(task, attempt, run): &(Task, Attempt, &Run)| Lost {
+        let new: BTreeSet<JobId> =
+            sent.iter().filter(|(.., run)| !run.seen_running).map(|(task, ..)| task.unit.job).collect();
+        let lost = |(task, attempt, run): &(Task, Attempt, &Run)| LostRun {
             age: heard.saturating_sub(run.decided),
-            shown: run.shown,
+            seen_running: run.seen_running,
             begun: run.begun.is_some(),
             confirmed: matches!(run.phase, Phase::Running(_)),
             sole: new.len() == 1,
-            explained: run.shown && worker.suspects > 0,
+            explained: run.seen_running && worker.suspects > 0,
             lasting: self.step(*task).is_some_and(|step| step.lasting),
-            ..Lost::inherited(*task, *attempt)
+            ..LostRun::inherited(*task, *attempt)
         };
         sent.iter().map(lost).collect()
     }
 
     /// Takes the ends of workers since the last call.
-    pub fn take_ended_workers(&mut self) -> Vec<Ended> {
+    pub fn take_ended_workers(&mut self) -> Vec<EndedWorker> {
         std::mem::take(&mut self.ended_workers)
     }
 }
--- a/components/sched/src/order.rs
+++ b/components/sched/src/order.rs
@@ -36,7 +36,7 @@
 
 impl Engine {
     /// Takes in what became of a start.
-    pub fn ordered(&mut self, clock: Clock, id: &str, task: Task, attempt: Attempt, outcome: Outcome) {
+    pub fn start_answered(&mut self, clock: Clock, id: &str, task: Task, attempt: Attempt, outcome: Outcome) {
         match outcome {
             Outcome::Started => self.confirmed(clock, id, task, attempt),
             Outcome::Unknown => {
@@ -103,7 +103,7 @@
     }
 
     /// The worker took a stop: the run ends soon, or never begins.
-    pub fn stopped(&mut self, id: &str, task: Task, attempt: Attempt) {
+    pub fn stop_accepted(&mut self, id: &str, task: Task, attempt: Attempt) {
         let mark = self.next_mark();
         let Some(worker) = self.workers.get_mut(id) else { return };
         if let Some(run) = worker.runs.get_mut(&(task, attempt)) {
--- a/components/sched/src/place.rs
+++ b/components/sched/src/place.rs
@@ -8,7 +8,7 @@
 use crate::engine::{Action, Clock, Engine, Start};
 use crate::entry::{Phase, UnitState};
 use crate::limits::{MOST_TICKET_MARGIN, TICKET_MARGIN};
-use crate::loss::Passing;
+use crate::loss::WorkerEndReason;
 use crate::questions::{Inquiry, Question};
 use crate::quota::may_run_unseen;
 use crate::rank::Candidate;
@@ -72,7 +72,7 @@
         let unseen = |worker: &Worker| worker.contact == Contact::Unknown && worker.missing.is_some() && over(worker);
         let ids: Vec<WorkerId> =
             self.workers.iter().filter(|(_, worker)| unseen(worker)).map(|(id, _)| id.clone()).collect();
-        ids.iter().for_each(|id| self.gone(clock, id, Passing::Unseen));
+        ids.iter().for_each(|id| self.gone(clock, id, WorkerEndReason::Unseen));
     }
 
     fn open_units(&mut self, clock: Clock) {
@@ -116,8 +116,8 @@
     /// By when a start that is decided now reaches its worker. A busy leader takes long over its record and the order: a ticket that has
     /// run out by then breaks a gang.
     pub(crate) fn reached(&self, clock: Clock) -> Duration {
-        let usual = self.start_latency.patience(TICKET_MARGIN, MOST_TICKET_MARGIN);
-        clock.now + if self.start_latency.usual().is_some() { usual } else { TICKET_MARGIN }
+        let usual = self.start_latency.timeout(TICKET_MARGIN, MOST_TICKET_MARGIN);
+        clock.now + if self.start_latency.smoothed().is_some() { usual } else { TICKET_MARGIN }
     }
 
     /// Whether a unit that found no place lately is passed over. Not one for which room is kept.
@@ -274,7 +274,7 @@
                 decided: now,
                 begun: None,
                 listed: false,
-                shown: false,
+                seen_running: false,
                 suspect,
             };
             if suspect {
@@ -324,7 +324,7 @@
 
     /// Whether a start that was given out and not sent yet is still to be sent: neither was a stop decided, nor does its worker leave, nor
     /// has its room shrunk below what it would run.
-    pub fn starting(&self, worker: &str, task: Task, attempt: Attempt) -> bool {
+    pub fn is_start_wanted(&self, worker: &str, task: Task, attempt: Attempt) -> bool {
         let Some(worker) = self.workers.get(worker) else { return false };
         let run = worker.runs.get(&(task, attempt));
         let starting = run.is_some_and(|run| run.phase == worker::Phase::Starting);
@@ -333,7 +333,7 @@
 
     fn still_wanted(&self, clock: Clock, worker: &str, start: &Start) -> bool {
         let unit = start.task.unit;
-        let starting = self.starting(worker, start.task, start.attempt);
+        let starting = self.is_start_wanted(worker, start.task, start.attempt);
         let allowed = start.ticket.is_none()
             || self.unit(unit).is_some_and(|state| state.known.allows(worker, clock.now + TICKET_MARGIN));
         starting && allowed && self.live.contains(&unit.job)
--- a/components/sched/src/preempt.rs
+++ b/components/sched/src/preempt.rs
@@ -33,7 +33,7 @@
 
 /// What was decided for a unit that needs room, for the log.
 #[derive(Clone, Debug, PartialEq)]
-pub struct MadeRoom {
+pub struct Preemption {
     /// The unit.
     pub unit: Unit,
     /// The worker.
@@ -71,7 +71,7 @@
         let found = places.filter_map(|place| self.victims(&place.id, &need, queue.priority));
         let Some(victims) = found.min_by_key(|victims| victims.weight) else { return };
         let stopped = victims.runs.len();
-        self.made_room.push(MadeRoom { unit, worker: victims.worker.clone(), stopped });
+        self.preemptions.push(Preemption { unit, worker: victims.worker.clone(), stopped });
         for (task, attempt) in victims.runs {
             self.stop_run(&victims.worker, task, attempt);
         }
@@ -82,8 +82,8 @@
     }
 
     /// Takes note of the room that was made since the last call.
-    pub fn take_made_room(&mut self) -> Vec<MadeRoom> {
-        std::mem::take(&mut self.made_room)
+    pub fn take_preemptions(&mut self) -> Vec<Preemption> {
+        std::mem::take(&mut self.preemptions)
     }
 
     /// The runs on a worker that are to be stopped for a task of this need; `None` where that isn't enough.
--- a/components/sched/src/records.rs
+++ b/components/sched/src/records.rs
@@ -18,7 +18,7 @@
     }
 
     /// Whether records wait for the log.
-    pub fn owes(&self) -> bool {
+    pub fn has_pending_records(&self) -> bool {
         !self.records.is_empty()
     }
 
--- a/components/sched/src/restart.rs
+++ b/components/sched/src/restart.rs
@@ -10,7 +10,7 @@
 
 use crate::ends::must_show;
 use crate::engine::{Clock, Engine};
-use crate::loss::{Ended, Lost, Passing};
+use crate::loss::{EndedWorker, LostRun, WorkerEndReason};
 use crate::worker::{Report, Run, Worker};
 
 impl Engine {
@@ -21,21 +21,28 @@
         clock: Clock,
         id: &str,
         heard: Duration,
-        left: Vec<Lost>,
+        left: Vec<LostRun>,
         report: &Report,
     ) -> bool {
         let Some(worker) = self.workers.get(id) else { return false };
         let draining = worker.info.draining;
         let listed = report.listed();
         let vanished = worker.vanished(&listed, report.mark);
-        let mut runs: Vec<Lost> = left.into_iter().filter(|lost| lost.begun && !listed.contains(&lost.key())).collect();
+        let mut runs: Vec<LostRun> =
+            left.into_iter().filter(|lost| lost.begun && !listed.contains(&lost.key())).collect();
         if vanished.is_empty() && runs.is_empty() && !worker.numbers_begin_again(report) {
             return false;
         }
         runs.extend(self.losses(id, heard).into_iter().filter(|lost| vanished.contains(&lost.key())));
         let silent = clock.now.saturating_sub(heard);
-        let mut ended =
-            Ended { worker: id.to_owned(), passing: Passing::Restarted, silent, draining, runs, next: None };
+        let mut ended = EndedWorker {
+            worker: id.to_owned(),
+            reason: WorkerEndReason::Restarted,
+            silent,
+            draining,
+            runs,
+            next: None,
+        };
         let spent = self.hold_against(&mut ended);
         self.ended_workers.push(ended);
         if let Some(worker) = self.workers.get_mut(id) {
--- a/components/sched/src/restore.rs
+++ b/components/sched/src/restore.rs
@@ -9,9 +9,9 @@
 use crate::blame::Crash;
 use crate::engine::{Clock, Engine, Owner};
 use crate::entry::{Accepted, Begun, Ended, Entry, Inherited, Phase, TaskState, UnitState};
-use crate::loss::Lost;
+use crate::loss::LostRun;
 use crate::quota::Charge;
-use crate::worker::{Info, Worker};
+use crate::worker::{Worker, WorkerInfo};
 
 impl Engine {
     /// Replays a record that an earlier leader, or an earlier part of this reign, has written.
@@ -32,7 +32,7 @@
                 self.replay_crash(task, Crash { worker, attempt, evidence });
             }
             Record::Worker { id, address } => {
-                let info = Info { address, ..unlisted() };
+                let info = WorkerInfo { address, ..unlisted() };
                 let worker = Worker::new(info, Some(clock.now), 0, clock.now);
                 self.workers.entry(id).or_insert(worker);
             }
@@ -61,7 +61,7 @@
     fn inherit_runs(&mut self) {
         for (task, run) in self.inherited_runs().into_iter().chain(self.take_placed_before()) {
             let Some(worker) = self.workers.get_mut(&run.worker) else { continue };
-            let lost = Lost::inherited(task, run.attempt);
+            let lost = LostRun::inherited(task, run.attempt);
             worker.left.push(lost.clone());
             self.doubt(&[lost]);
         }
@@ -309,8 +309,8 @@
 }
 
 /// A worker that the log names and the list doesn't: it is renewed, but gets no work.
-pub(crate) fn unlisted() -> Info {
-    Info {
+pub(crate) fn unlisted() -> WorkerInfo {
+    WorkerInfo {
         address: String::new(),
         pool: String::new(),
         zone: String::new(),
--- a/components/sched/src/room.rs
+++ b/components/sched/src/room.rs
@@ -10,7 +10,7 @@
 use crate::ends::taken_room;
 use crate::entry::{Phase, TaskState, UnitState};
 use crate::preempt::Claim;
-use crate::worker::{Doubt, Info, Pauses, Worker};
+use crate::worker::{Doubt, Pauses, Worker, WorkerInfo};
 
 /// Most tasks of one need that are counted at one place: beyond any worker's size.
 const MOST_SLOTS: u32 = 1000;
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Place {
     pub id: WorkerId,
-    pub info: Arc<Info>,
+    pub info: Arc<WorkerInfo>,
     /// Room that anybody may take.
     pub free: Resources,
     /// The same together with what is claimed.
--- a/components/sched/src/stall.rs
+++ b/components/sched/src/stall.rs
@@ -87,7 +87,7 @@
     }
 
     /// Jobs that were reported and still have nothing running.
-    pub fn stalled(&self) -> usize {
+    pub fn stalled_count(&self) -> usize {
         self.idle_since.values().filter(|idle| idle.reported).count()
     }
 }
--- a/components/sched/src/turn.rs
+++ b/components/sched/src/turn.rs
@@ -21,7 +21,7 @@
 
 impl Engine {
     /// Workers that aren't held yet, id and address, in the order in which they are to be called.
-    pub fn uncalled(&self, held: impl Fn(&WorkerId) -> bool) -> Vec<(WorkerId, String)> {
+    pub fn workers_to_contact(&self, held: impl Fn(&WorkerId) -> bool) -> Vec<(WorkerId, String)> {
         let mut found: Vec<(Turn, &WorkerId, &Worker)> = self
             .workers
             .iter()
--- a/components/sched/src/worker.rs
+++ b/components/sched/src/worker.rs
@@ -7,7 +7,7 @@
 use model::Resources;
 use work::{Attempt, Task};
 
-use crate::loss::Lost;
+use crate::loss::LostRun;
 use crate::quota::Charge;
 
 /// A worker that is missing in the list is used this much longer, if it answers: its entry may be on its way back.
@@ -32,7 +32,7 @@
 
 /// What a worker says of itself in the platform's list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Info {
+pub struct WorkerInfo {
     /// Where it takes orders: address and port.
     pub address: String,
     /// Pool that it belongs to.
@@ -49,7 +49,7 @@
     pub evacuated: bool,
 }
 
-impl Info {
+impl WorkerInfo {
     /// Whether it may get new work, as far as it goes by the platform's list.
     pub(crate) fn is_open(&self) -> bool {
         !self.draining && !self.evacuated
@@ -71,7 +71,7 @@
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
+pub enum RunOutcome {
     /// The task is done.
     Done,
     /// It failed, by its own fault or the worker's.
@@ -86,16 +86,16 @@
     Alone,
 }
 
-impl How {
+impl RunOutcome {
     /// Its name in metrics.
     pub fn name(self) -> &'static str {
         match self {
-            How::Done => "done",
-            How::Failed => "failed",
-            How::Stopped => "stopped",
-            How::Lapsed => "lapsed",
-            How::Broken => "broken",
-            How::Alone => "alone",
+            RunOutcome::Done => "done",
+            RunOutcome::Failed => "failed",
+            RunOutcome::Stopped => "stopped",
+            RunOutcome::Lapsed => "lapsed",
+            RunOutcome::Broken => "broken",
+            RunOutcome::Alone => "alone",
         }
     }
 }
@@ -110,7 +110,7 @@
     /// The run.
     pub attempt: Attempt,
     /// How it ended.
-    pub how: How,
+    pub how: RunOutcome,
     /// Its last checkpoint; empty for none.
     pub saved: String,
 }
@@ -167,7 +167,7 @@
     /// Whether the worker has listed it: an answer to its start may be that of the worker's next life.
     pub listed: bool,
     /// Whether the worker has listed it when it had run for a moment.
-    pub shown: bool,
+    pub seen_running: bool,
     /// Whether its task may take the worker down; see [`crate::blame`].
     pub suspect: bool,
 }
@@ -208,7 +208,7 @@
 /// One life of a worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Worker {
-    pub info: Arc<Info>,
+    pub info: Arc<WorkerInfo>,
     pub contact: Contact,
     /// Since when the platform's list lacks it; `None` while it is listed.
     pub missing: Option<Duration>,
@@ -224,7 +224,7 @@
     pub suspects: u32,
     /// What was there when it was last heard of, though its leases have run out or an earlier leader placed it. It counts if the worker
     /// turns out to have ended.
-    pub left: Vec<Lost>,
+    pub left: Vec<LostRun>,
     /// Whether it follows another life under its name; see [`crate::handover`].
     pub follows: bool,
     /// Highest end that was taken in.
@@ -242,7 +242,7 @@
 }
 
 impl Worker {
-    pub(crate) fn new(info: Info, missing: Option<Duration>, position: u64, now: Duration) -> Worker {
+    pub(crate) fn new(info: WorkerInfo, missing: Option<Duration>, position: u64, now: Duration) -> Worker {
         Worker {
             free: info.capacity,
             info: Arc::new(info),
@@ -293,8 +293,8 @@
     /// Takes the room of a run.
     pub(crate) fn take(&mut self, task: Task, attempt: Attempt, run: Run) {
         self.free = self.free.saturating_sub(&run.need);
-        self.new += u32::from(!run.shown);
-        self.suspects += u32::from(!run.shown && run.suspect);
+        self.new += u32::from(!run.seen_running);
+        self.suspects += u32::from(!run.seen_running && run.suspect);
         self.runs.insert((task, attempt), run);
     }
 
@@ -303,8 +303,8 @@
         let run = self.runs.get_mut(&(task, attempt))?;
         run.listed = true;
         let begun = *run.begun.get_or_insert(now);
-        if !run.shown && now.saturating_sub(begun) >= MOMENT {
-            run.shown = true;
+        if !run.seen_running && now.saturating_sub(begun) >= MOMENT {
+            run.seen_running = true;
             self.new -= 1;
             self.suspects -= u32::from(run.suspect);
         }
@@ -331,7 +331,7 @@
 
     /// Counts the free room and the new runs anew.
     pub(crate) fn recount(&mut self) {
-        let new = || self.runs.values().filter(|run| !run.shown);
+        let new = || self.runs.values().filter(|run| !run.seen_running);
         self.new = new().count() as u32;
         self.suspects = new().filter(|run| run.suspect).count() as u32;
         self.free = self.runs.values().fold(self.info.capacity, |free, run| free.saturating_sub(&run.need));
--- a/components/sched/tests/decisions/advice.rs
+++ b/components/sched/tests/decisions/advice.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sched::{Action, How, Question, Ticket};
+use sched::{Action, Question, RunOutcome, Ticket};
 use work::{Step, WorkerId};
 
 use crate::cell::{Cell, step};
@@ -21,7 +21,7 @@
     let until = cell.now + question.validity;
     let ticket = |worker: &&str| ((*worker).to_owned(), Ticket { text: "t".to_owned(), until });
     let tickets = healthy.iter().map(ticket).collect();
-    cell.engine.advised(question.unit, &question.workers, tickets);
+    cell.engine.advice_received(question.unit, &question.workers, tickets);
 }
 
 /// All workers answer after some time in which every ticket has run out.
@@ -55,14 +55,14 @@
     let [Action::Ask(question)] = actions.as_slice() else { panic!("{actions:?}") };
     let until = cell.now + question.validity;
     let ticket = ("w2".to_owned(), Ticket { text: "t".to_owned(), until });
-    cell.engine.advised(question.unit, &question.workers, vec![ticket.clone()]);
+    cell.engine.advice_received(question.unit, &question.workers, vec![ticket.clone()]);
     cell.now = until;
     (0..4).for_each(|number| cell.report(&format!("w{number}"), &[], &[]));
     let actions = cell.plan();
     let [Action::Ask(again)] = actions.as_slice() else { panic!("the ticket has run out: {actions:?}") };
     assert_eq!(again.workers, ["w2"], "who may run it is known");
     let until = cell.now + again.validity;
-    cell.engine.advised(again.unit, &again.workers, vec![("w2".to_owned(), Ticket { until, ..ticket.1 })]);
+    cell.engine.advice_received(again.unit, &again.workers, vec![("w2".to_owned(), Ticket { until, ..ticket.1 })]);
     let starts = cell.starts();
     assert_eq!(starts.len(), 1);
     assert_eq!((starts[0].0.as_str(), starts[0].1.ticket.as_deref()), ("w2", Some("t")));
@@ -73,9 +73,9 @@
     let (mut cell, starts) = two_of_twelve(Step { spread: 1, lasting: true, ..step(2, 1) });
     assert_eq!(starts.len(), 2);
     let ((lost, failed), kept) = (&starts[0], &starts[1]);
-    cell.end(lost, failed, How::Failed);
+    cell.end(lost, failed, RunOutcome::Failed);
     cell.infos.get_mut(lost).expect("listed").draining = true;
-    cell.engine.list(cell.clock(), cell.infos.clone());
+    cell.engine.update_workers(cell.clock(), cell.infos.clone());
     let_tickets_expire(&mut cell, std::slice::from_ref(kept));
     let next = question(&mut cell);
     assert!(!next.workers.contains(&kept.0), "its ticket would bring nothing: {:?}", next.workers);
@@ -93,7 +93,7 @@
         cell.submit(job, "advised", vec![step(1, 1)]);
         let question = question(&mut cell);
         named.push(question.workers.len());
-        cell.engine.advised(question.unit, &question.workers, Vec::new());
+        cell.engine.advice_received(question.unit, &question.workers, Vec::new());
         cell.engine.cancel(cell.clock(), job);
         cell.write();
         cell.engine.take_actions();
@@ -111,7 +111,7 @@
         let question = question(cell);
         let ticket = Ticket { text: "t".to_owned(), until: cell.now + holds };
         let tickets = question.workers.iter().map(|worker| (worker.clone(), ticket.clone())).collect();
-        cell.engine.advised(question.unit, &question.workers, tickets);
+        cell.engine.advice_received(question.unit, &question.workers, tickets);
         cell.starts()
     };
     assert_eq!(start_within(&mut cell, 1, Duration::from_millis(200)).len(), 1, "nothing is known yet");
@@ -121,7 +121,7 @@
         ["w0", "w1"].iter().for_each(|worker| cell.report(worker, &[], &[]));
         for (worker, start) in &starts {
             cell.started(worker, start);
-            cell.end(worker, start, How::Done);
+            cell.end(worker, start, RunOutcome::Done);
         }
     }
     assert!(start_within(&mut cell, 10, Duration::from_millis(200)).is_empty());
--- a/components/sched/tests/decisions/assemble.rs
+++ b/components/sched/tests/decisions/assemble.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use sched::{Action, How, Question, Start, Ticket};
+use sched::{Action, Question, RunOutcome, Start, Ticket};
 use work::{JobId, Step, WorkerId};
 
 use crate::cell::{Cell, running, step};
@@ -28,7 +28,7 @@
     worker: WorkerId,
     start: Start,
     ends: Duration,
-    how: How,
+    how: RunOutcome,
 }
 
 struct Play {
@@ -84,15 +84,15 @@
                 self.waits.entry(job).or_insert(waited);
                 self.cell.started(&worker, &start);
                 let takes = if job < FIRST_GANG { PATIENT_TAKES } else { GANG_TAKES };
-                self.runs.push(Run { worker, start, ends: now + takes, how: How::Done });
+                self.runs.push(Run { worker, start, ends: now + takes, how: RunOutcome::Done });
             }
             Action::Ask(question) => self.waiting.push(question),
             Action::Stop(worker, task, attempt) => {
                 self.stops += 1;
-                self.cell.engine.stopped(&worker, task, attempt);
+                self.cell.engine.stop_accepted(&worker, task, attempt);
                 let run = self.runs.iter_mut().find(|run| run.start.task == task && run.start.attempt == attempt);
                 if let Some(run) = run.filter(|run| run.ends > now + STOP) {
-                    (run.ends, run.how) = (now + STOP, How::Stopped);
+                    (run.ends, run.how) = (now + STOP, RunOutcome::Stopped);
                 }
             }
             Action::Forget(_) => panic!("no worker goes"),
@@ -132,7 +132,7 @@
             let until = now + question.validity;
             let healthy = question.workers.iter().filter(|worker| worker.ends_with(['1', '4', '7']));
             let tickets = healthy.map(|worker| (worker.clone(), Ticket { text: String::new(), until })).collect();
-            self.cell.engine.advised(question.unit, &question.workers, tickets);
+            self.cell.engine.advice_received(question.unit, &question.workers, tickets);
         }
     }
 
--- a/components/sched/tests/decisions/cell/mod.rs
+++ b/components/sched/tests/decisions/cell/mod.rs
@@ -5,14 +5,14 @@
 use std::time::Duration;
 
 use model::Resources;
-use sched::{Action, Clock, End, Engine, How, Info, Limits, OrderOutcome, Owner, Report, Running, Start};
+use sched::{Action, Clock, End, Engine, Limits, OrderOutcome, Owner, Report, RunOutcome, Running, Start, WorkerInfo};
 use work::{Advice, Config, Job, JobId, Queue, Record, Step, Term, WorkerId, Workspace};
 
 pub struct Cell {
     pub engine: Engine,
     pub now: Duration,
     pub log: Vec<Record>,
-    pub infos: BTreeMap<WorkerId, Info>,
+    pub infos: BTreeMap<WorkerId, WorkerInfo>,
     pub numbers: BTreeMap<WorkerId, u64>,
 }
 
@@ -62,7 +62,7 @@
 
     /// Lists all workers and hears from each that nothing runs.
     pub fn ready(mut self) -> Cell {
-        self.engine.list(self.clock(), self.infos.clone());
+        self.engine.update_workers(self.clock(), self.infos.clone());
         self.write();
         let ids: Vec<WorkerId> = self.infos.keys().cloned().collect();
         ids.iter().for_each(|id| self.report(id, &[], &[]));
@@ -71,7 +71,7 @@
 
     /// Writes all records.
     pub fn write(&mut self) {
-        while self.engine.owes() {
+        while self.engine.has_pending_records() {
             let (records, upto) = self.engine.take_records(1_000_000);
             self.log.extend(records);
             self.engine.written(self.clock(), upto);
@@ -120,11 +120,11 @@
     }
 
     pub fn started(&mut self, worker: &str, start: &Start) {
-        self.engine.ordered(self.clock(), worker, start.task, start.attempt, OrderOutcome::Started);
+        self.engine.start_answered(self.clock(), worker, start.task, start.attempt, OrderOutcome::Started);
     }
 
     /// The worker lists the end of a run; `others` still run there.
-    pub fn end_beside(&mut self, worker: &str, start: &Start, how: How, others: &[Running]) {
+    pub fn end_beside(&mut self, worker: &str, start: &Start, how: RunOutcome, others: &[Running]) {
         let number = self.numbers.entry(worker.to_owned()).or_default();
         *number += 1;
         let end = End { number: *number, task: start.task, attempt: start.attempt, how, saved: String::new() };
@@ -133,7 +133,7 @@
     }
 
     /// The worker lists the end of a run, and nothing else runs there.
-    pub fn end(&mut self, worker: &str, start: &Start, how: How) {
+    pub fn end(&mut self, worker: &str, start: &Start, how: RunOutcome) {
         self.end_beside(worker, start, how, &[]);
     }
 }
@@ -147,8 +147,8 @@
     Step { count, need: Resources::new(cores, 100, 0), estimate: Duration::from_secs(1), ..Step::default() }
 }
 
-fn info(number: usize) -> Info {
-    Info {
+fn info(number: usize) -> WorkerInfo {
+    WorkerInfo {
         address: format!("10.0.0.{number}:80"),
         pool: "pool".to_owned(),
         zone: "zone".to_owned(),
--- a/components/sched/tests/decisions/crash.rs
+++ b/components/sched/tests/decisions/crash.rs
@@ -12,7 +12,7 @@
 
 use std::time::Duration;
 
-use sched::{How, Start};
+use sched::{RunOutcome, Start};
 use work::{Outcome, State, Step};
 
 use crate::cell::{Cell, running, step};
@@ -31,10 +31,10 @@
 
 /// The leader learns who is listed, and hears from all: also at the addresses of workers that were there before.
 fn look(cell: &mut Cell) {
-    cell.engine.list(cell.clock(), cell.infos.clone());
+    cell.engine.update_workers(cell.clock(), cell.infos.clone());
     let former: Vec<String> = cell.engine.addresses().into_iter().map(|(id, _)| id).collect();
     for id in former.iter().filter(|id| !cell.infos.contains_key(*id)) {
-        cell.engine.superseded(cell.clock(), id, None);
+        cell.engine.worker_replaced(cell.clock(), id, None);
     }
     cell.write();
     let ids: Vec<String> = cell.infos.keys().cloned().collect();
@@ -119,12 +119,12 @@
 #[test]
 fn a_worker_that_another_life_has_replaced_is_not_taken_in_again_while_it_is_listed() {
     let mut cell = Cell::new(2).ready();
-    cell.engine.superseded(cell.clock(), "w0", None);
+    cell.engine.worker_replaced(cell.clock(), "w0", None);
     cell.write();
     let written = cell.log.len();
     for _ in 0..10 {
         cell.now += Duration::from_millis(450);
-        cell.engine.list(cell.clock(), cell.infos.clone());
+        cell.engine.update_workers(cell.clock(), cell.infos.clone());
         cell.write();
     }
     assert_eq!(cell.log.len(), written, "{:?}", &cell.log[written..]);
@@ -144,7 +144,7 @@
         look(&mut cell);
     }
     let (worker, start) = start_of(&mut cell, 1).expect("it starts again");
-    cell.end(&worker, &start, How::Done);
+    cell.end(&worker, &start, RunOutcome::Done);
     assert_eq!(cell.engine.state(1), Some(State::Ended(Outcome::Completed)));
 }
 
@@ -160,8 +160,8 @@
     left.iter().for_each(|id| cell.report(id, &[], &[]));
     cell.submit(2, "urgent", vec![step(1, 1)]);
     let (beside, _) = start_of(&mut cell, 2).expect("it starts");
-    cell.engine.list(cell.clock(), cell.infos.clone());
-    cell.engine.superseded(cell.clock(), &worker, None);
+    cell.engine.update_workers(cell.clock(), cell.infos.clone());
+    cell.engine.worker_replaced(cell.clock(), &worker, None);
     cell.write();
     cell.report(&format!("{worker}-again"), &[], &[]);
     let (tried, start) = start_of(&mut cell, 1).expect("it starts again");
@@ -180,7 +180,7 @@
     cell.submit(1, "urgent", vec![step(1, 1)]);
     cell.engine.plan(cell.clock());
     assert!(cell.engine.take_actions().is_empty(), "its record isn't written yet");
-    cell.engine.superseded(cell.clock(), "w0", None);
+    cell.engine.worker_replaced(cell.clock(), "w0", None);
     let ended = cell.engine.take_ended_workers();
     assert!(ended[0].runs.is_empty(), "{ended:?}");
 }
@@ -241,14 +241,14 @@
         silent.push(worker.clone());
         assert!(silent.len() <= MOST_STARTS, "started {} times, each worker is silent", silent.len());
         cell.now += Duration::from_secs(7);
-        cell.engine.lapsed(cell.clock(), &worker);
+        cell.engine.leases_expired(cell.clock(), &worker);
         let ids: Vec<String> = cell.infos.keys().filter(|id| !silent.contains(id)).cloned().collect();
         ids.iter().for_each(|id| cell.report(id, &[], &[]));
     }
     let told = cell.engine.explain(cell.clock(), 1).expect("it is kept").steps[0].why.clone();
     assert!(told.contains("silent"), "an operator sees why: {told}");
     // The first of them was only cut off, and lists the run as lapsed.
-    cell.end(&silent[0], &first.expect("it started"), How::Lapsed);
+    cell.end(&silent[0], &first.expect("it started"), RunOutcome::Lapsed);
     assert_eq!(cell.starts().len(), 1, "one less may have ended");
 }
 
@@ -259,7 +259,7 @@
     for _ in 0..MOST_STARTS {
         let (worker, _) = start_of(&mut cell, 1).expect("it starts");
         cell.now += Duration::from_secs(7);
-        cell.engine.lapsed(cell.clock(), &worker);
+        cell.engine.leases_expired(cell.clock(), &worker);
         let others: Vec<String> = cell.infos.keys().filter(|id| **id != worker).cloned().collect();
         others.iter().for_each(|id| cell.report(id, &[], &[]));
         cell.infos.remove(&worker);
@@ -271,7 +271,7 @@
 /// Whether the task of job 1 starts under a leader that finds this log, once nothing that earlier leaders started can run any more.
 fn starts_after_a_takeover(log: &[work::Record]) -> bool {
     let mut next = Cell::after(7, 2, log);
-    next.engine.list(next.clock(), next.infos.clone());
+    next.engine.update_workers(next.clock(), next.infos.clone());
     next.write();
     next.now += Duration::from_secs(30);
     ["w5", "w6"].iter().for_each(|id| next.report(id, &[], &[]));
--- a/components/sched/tests/decisions/done.rs
+++ b/components/sched/tests/decisions/done.rs
@@ -17,7 +17,7 @@
 
 use std::time::Duration;
 
-use sched::{How, Start};
+use sched::{RunOutcome, Start};
 use work::{Outcome, State, Step};
 
 use crate::cell::{Cell, running, step};
@@ -47,7 +47,7 @@
     cell.started(worker, start);
     cell.report(worker, &[running(start)], &[]);
     cell.now += RUN;
-    cell.end(worker, start, How::Done);
+    cell.end(worker, start, RunOutcome::Done);
     cell.report(worker, &[], &[]);
 }
 
--- a/components/sched/tests/decisions/doubt.rs
+++ b/components/sched/tests/decisions/doubt.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sched::{Action, How, OrderOutcome};
+use sched::{Action, OrderOutcome, RunOutcome};
 use work::Step;
 
 use crate::cell::{Cell, running, step};
@@ -21,7 +21,7 @@
         cell.submit(job, "urgent", vec![step(1, 1)]);
         let (worker, start) = cell.starts().remove(0);
         cell.started(&worker, &start);
-        cell.end(&worker, &start, How::Failed);
+        cell.end(&worker, &start, RunOutcome::Failed);
         cell.engine.cancel(cell.clock(), job);
         cell.write();
     }
@@ -33,10 +33,10 @@
     cell.submit(1, "urgent", vec![step(1, 1)]);
     let first = cell.starts();
     let (worker, start) = &first[0];
-    cell.engine.ordered(cell.clock(), worker, start.task, start.attempt, OrderOutcome::Unknown);
+    cell.engine.start_answered(cell.clock(), worker, start.task, start.attempt, OrderOutcome::Unknown);
     let stops = cell.plan();
     assert!(matches!(stops.as_slice(), [Action::Stop(..)]), "it is settled by a stop: {stops:?}");
-    cell.engine.stopped(worker, start.task, start.attempt);
+    cell.engine.stop_accepted(worker, start.task, start.attempt);
     cell.report(worker, &[], &[]);
     let second = cell.starts();
     assert_eq!(second.len(), 1);
@@ -50,7 +50,7 @@
     cell.submit(1, "urgent", vec![step(1, 1)]);
     let (bad, start) = cell.starts().remove(0);
     cell.started(&bad, &start);
-    cell.end(&bad, &start, How::Failed);
+    cell.end(&bad, &start, RunOutcome::Failed);
     cell.submit(2, "urgent", vec![step(1, 15)]);
     let starts = cell.starts();
     assert_eq!(starts.len(), 2, "the failed task again, and the large one");
@@ -72,7 +72,7 @@
     cell.started("w0", &trial[0].1);
     assert!(cell.starts().is_empty(), "the trial goes on");
     cell.submit(5, "urgent", vec![Step { gang: true, ..step(1, 1) }]);
-    cell.end("w0", &trial[0].1, How::Done);
+    cell.end("w0", &trial[0].1, RunOutcome::Done);
     assert_eq!(cell.starts().len(), 4, "it is sound again: the other three and the gang");
 }
 
--- a/components/sched/tests/decisions/hints.rs
+++ b/components/sched/tests/decisions/hints.rs
@@ -11,7 +11,7 @@
 //! Cause: a life without an entry was taken for over once any entry showed its address, though neither an absent entry nor one whose age isn't
 //! known proves anything.
 
-use sched::{Action, How};
+use sched::{Action, RunOutcome};
 use work::{Outcome, State};
 
 use crate::cell::{Cell, running, step};
@@ -20,7 +20,7 @@
 fn started_again() -> Cell {
     let mut cell = Cell::new(1).ready();
     let info = cell.infos["w0"].clone();
-    cell.engine.superseded(cell.clock(), "w0", None);
+    cell.engine.worker_replaced(cell.clock(), "w0", None);
     cell.infos = [("w1".to_owned(), info)].into();
     let mut cell = cell.ready();
     cell.plan();
@@ -31,7 +31,7 @@
 fn show(cell: &mut Cell, id: &str) {
     let info = cell.infos.values().next().expect("one").clone();
     cell.infos = [(id.to_owned(), info)].into();
-    cell.engine.list(cell.clock(), cell.infos.clone());
+    cell.engine.update_workers(cell.clock(), cell.infos.clone());
     cell.write();
 }
 
@@ -56,7 +56,7 @@
     assert!(knows(&cell, "w1"), "it has just answered");
     assert!(cell.engine.take_ended_workers().iter().all(|ended| ended.runs.is_empty()), "nothing has ended");
     assert!(is_calm(&mut cell));
-    cell.end(&worker, &start, How::Done);
+    cell.end(&worker, &start, RunOutcome::Done);
     assert_eq!(cell.engine.state(1), Some(State::Ended(Outcome::Completed)));
     assert!(is_calm(&mut cell), "it is done");
 }
@@ -74,7 +74,7 @@
     assert!(knows(&cell, "w1"), "it has just answered");
     assert!(!knows(&cell, "w0"), "the log says that it is over, and another life is at its address");
     assert!(is_calm(&mut cell), "the task goes on");
-    cell.end(&worker, &start, How::Done);
+    cell.end(&worker, &start, RunOutcome::Done);
     assert_eq!(cell.engine.state(1), Some(State::Ended(Outcome::Completed)));
 }
 
@@ -96,7 +96,7 @@
 fn a_listed_life_takes_the_place_of_one_whose_address_answers_as_another() {
     let mut cell = started_again();
     show(&mut cell, "w2");
-    cell.engine.superseded(cell.clock(), "w1", None);
+    cell.engine.worker_replaced(cell.clock(), "w1", None);
     cell.write();
     cell.report("w2", &[], &[]);
     cell.submit(1, "urgent", vec![step(1, 1)]);
@@ -109,7 +109,7 @@
 fn a_listed_life_that_was_born_later_at_the_address_ends_the_former() {
     let mut cell = started_again();
     show(&mut cell, "w3@1000");
-    cell.engine.superseded(cell.clock(), "w1", None);
+    cell.engine.worker_replaced(cell.clock(), "w1", None);
     cell.write();
     show(&mut cell, "w4@2000");
     assert!(!knows(&cell, "w3@1000"));
--- a/components/sched/tests/decisions/lives.rs
+++ b/components/sched/tests/decisions/lives.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use sched::{Action, How, OrderOutcome, Start, Ticket};
+use sched::{Action, OrderOutcome, RunOutcome, Start, Ticket};
 use work::Evidence;
 
 use crate::cell::{Cell, running, step};
@@ -23,11 +23,11 @@
     cell.submit(1, "urgent", vec![step(1, 1)]);
     let (worker, start) = cell.starts().remove(0);
     assert_eq!(worker, "w0@1000");
-    cell.engine.ordered(cell.clock(), &worker, start.task, start.attempt, OrderOutcome::Unknown);
+    cell.engine.start_answered(cell.clock(), &worker, start.task, start.attempt, OrderOutcome::Unknown);
     cell.now += Duration::from_millis(500);
     let info = cell.infos.remove(&worker).expect("listed");
     cell.infos.insert("w0@2000".to_owned(), info);
-    cell.engine.list(cell.clock(), cell.infos.clone());
+    cell.engine.update_workers(cell.clock(), cell.infos.clone());
     cell.write();
     cell.report("w1@1000", &[], &[]);
     (cell, start)
@@ -45,7 +45,7 @@
     };
     assert!(actions.iter().any(stopped), "{actions:?}");
     assert!(cell.starts().is_empty(), "it may still come");
-    cell.engine.stopped("w0@2000", start.task, start.attempt);
+    cell.engine.stop_accepted("w0@2000", start.task, start.attempt);
     cell.report("w0@2000", &[], &[]);
     assert_eq!(cell.starts().len(), 1, "it is refused from now on");
 }
@@ -62,7 +62,7 @@
 fn show(cell: &mut Cell, id: &str) {
     let info = cell.infos.values().next().expect("one").clone();
     cell.infos = [(id.to_owned(), info)].into();
-    cell.engine.list(cell.clock(), cell.infos.clone());
+    cell.engine.update_workers(cell.clock(), cell.infos.clone());
     cell.write();
 }
 
@@ -105,7 +105,7 @@
     show(&mut cell, "w0@2000");
     cell.report("w0@2000", &[running(&start)], &[]);
     assert!(matches!(cell.plan().as_slice(), [Action::Forget(_), Action::Stop(worker, ..)] if worker == "w0@2000"));
-    cell.end("w0@2000", &start, How::Stopped);
+    cell.end("w0@2000", &start, RunOutcome::Stopped);
     assert_eq!(cell.starts().len(), 1);
 }
 
@@ -125,7 +125,7 @@
 #[test]
 fn a_life_that_answers_before_it_is_listed_is_held_but_not_used() {
     let mut cell = born_at_1000();
-    cell.engine.superseded(cell.clock(), "w0@1000", Some("w0@2000".to_owned()));
+    cell.engine.worker_replaced(cell.clock(), "w0@1000", Some("w0@2000".to_owned()));
     cell.write();
     show(&mut cell, "w0@1000");
     assert_eq!(known(&cell), ["w0@2000"]);
@@ -190,7 +190,7 @@
     let other = cell.infos["w1"].clone();
     let info = cell.infos["w0"].clone();
     cell.infos = [("w0@2000".to_owned(), info), ("w1@1000".to_owned(), other)].into();
-    cell.engine.list(cell.clock(), cell.infos.clone());
+    cell.engine.update_workers(cell.clock(), cell.infos.clone());
     cell.write();
     cell.report("w1@1000", &[], &[]);
     assert!(cell.starts().is_empty(), "the order may be on its way to the next life");
@@ -212,7 +212,7 @@
     show(&mut cell, "w0@2000");
     cell.report("w0@2000", &[], &[]);
     let ticket = Ticket { text: "ticket".to_owned(), until: cell.now + Duration::from_secs(2) };
-    cell.engine.advised(question.unit, &question.workers, vec![("w0@1000".to_owned(), ticket)]);
+    cell.engine.advice_received(question.unit, &question.workers, vec![("w0@1000".to_owned(), ticket)]);
     let question = asked(cell.plan()).expect("it asks anew");
     assert_eq!(question.workers, ["w0@2000"]);
 }
--- a/components/sched/tests/decisions/main.rs
+++ b/components/sched/tests/decisions/main.rs
@@ -19,7 +19,7 @@
 use std::time::Duration;
 
 use cell::{Cell, running, step};
-use sched::{Action, How, OrderOutcome, Owner};
+use sched::{Action, OrderOutcome, Owner, RunOutcome};
 use work::{Outcome, Record, State, Step};
 
 #[test]
@@ -39,10 +39,10 @@
     let mut cell = Cell::new(1).ready();
     cell.submit(1, "urgent", vec![step(1, 10)]);
     let (worker, start) = cell.starts().remove(0);
-    cell.engine.ordered(cell.clock(), &worker, start.task, start.attempt, OrderOutcome::Unknown);
+    cell.engine.start_answered(cell.clock(), &worker, start.task, start.attempt, OrderOutcome::Unknown);
     cell.submit(2, "urgent", vec![step(1, 10)]);
     assert!(cell.starts().is_empty(), "the first may still come");
-    cell.engine.stopped(&worker, start.task, start.attempt);
+    cell.engine.stop_accepted(&worker, start.task, start.attempt);
     assert!(cell.starts().is_empty(), "it may be ending");
     cell.report(&worker, &[], &[]);
     assert_eq!(cell.starts().len(), 1);
@@ -58,9 +58,9 @@
         cell.started(worker, start);
     }
     let (other, last) = &first[1];
-    cell.end_beside(&first[0].0, &first[0].1, How::Done, &[running(last)]);
+    cell.end_beside(&first[0].0, &first[0].1, RunOutcome::Done, &[running(last)]);
     assert!(cell.starts().is_empty());
-    cell.end(other, last, How::Done);
+    cell.end(other, last, RunOutcome::Done);
     assert_eq!(cell.starts().len(), 1);
 }
 
@@ -82,10 +82,16 @@
     cell.submit(1, "urgent", vec![Step { gang: true, ..step(2, 9) }]);
     let starts = cell.starts();
     cell.started(&starts[0].0, &starts[0].1);
-    cell.engine.ordered(cell.clock(), &starts[1].0, starts[1].1.task, starts[1].1.attempt, OrderOutcome::Refused);
+    cell.engine.start_answered(
+        cell.clock(),
+        &starts[1].0,
+        starts[1].1.task,
+        starts[1].1.attempt,
+        OrderOutcome::Refused,
+    );
     let actions = cell.plan();
     assert!(matches!(actions.as_slice(), [Action::Stop(worker, ..)] if *worker == starts[0].0), "{actions:?}");
-    cell.end(&starts[0].0, &starts[0].1, How::Stopped);
+    cell.end(&starts[0].0, &starts[0].1, RunOutcome::Stopped);
     assert_eq!(cell.starts().len(), 2);
 }
 
@@ -93,14 +99,14 @@
 fn only_failed_ends_count_as_attempts() {
     let mut cell = Cell::new(1).ready();
     cell.submit(1, "urgent", vec![step(1, 1)]);
-    for how in [How::Lapsed, How::Stopped, How::Broken, How::Alone, How::Failed] {
+    for how in [RunOutcome::Lapsed, RunOutcome::Stopped, RunOutcome::Broken, RunOutcome::Alone, RunOutcome::Failed] {
         let (worker, start) = cell.starts().remove(0);
         cell.started(&worker, &start);
         cell.end(&worker, &start, how);
         assert_eq!(cell.engine.state(1), Some(State::Running), "{how:?}");
     }
     let (worker, start) = cell.starts().remove(0);
-    cell.end(&worker, &start, How::Failed);
+    cell.end(&worker, &start, RunOutcome::Failed);
     assert_eq!(cell.engine.state(1), Some(State::Ended(Outcome::Failed)), "two of two attempts");
     assert!(cell.starts().is_empty());
 }
@@ -110,7 +116,8 @@
     let mut cell = Cell::new(1).ready();
     cell.submit(1, "urgent", vec![step(1, 1)]);
     let (worker, start) = cell.starts().remove(0);
-    let end = sched::End { number: 1, task: start.task, attempt: start.attempt, how: How::Done, saved: String::new() };
+    let end =
+        sched::End { number: 1, task: start.task, attempt: start.attempt, how: RunOutcome::Done, saved: String::new() };
     cell.report(&worker, &[], &[end]);
     assert_eq!(cell.engine.acked(&worker), 0);
     assert_eq!(cell.engine.taken(&worker), 1, "when it is listed again it is no news");
@@ -144,7 +151,7 @@
     let (worker, start) = &starts[0];
 
     let mut new = Cell::after(2, 2, &old.log);
-    new.engine.list(new.clock(), new.infos.clone());
+    new.engine.update_workers(new.clock(), new.infos.clone());
     new.write();
     assert!(new.starts().is_empty(), "either task may run where no one has looked");
     new.report(worker, &[running(start)], &[]);
@@ -161,7 +168,7 @@
     assert_eq!(old.starts().len(), 1);
 
     let mut new = Cell::after(2, 2, &old.log);
-    new.engine.list(new.clock(), new.infos.clone());
+    new.engine.update_workers(new.clock(), new.infos.clone());
     new.write();
     new.report("w1", &[], &[]);
     assert!(new.starts().is_empty());
@@ -180,7 +187,7 @@
     old.submit(1, "urgent", vec![step(1, 1)]);
 
     let mut new = Cell::after(2, 2, &old.log);
-    new.engine.list(new.clock(), new.infos.clone());
+    new.engine.update_workers(new.clock(), new.infos.clone());
     new.write();
     new.report("w1", &[], &[]);
     assert_eq!(new.starts().len(), 1, "w0 hasn't answered, but the task can't be there");
@@ -227,7 +234,7 @@
     let mut cell = Cell::new(1).ready();
     cell.submit(1, "urgent", vec![step(1, 1)]);
     let (worker, start) = cell.starts().remove(0);
-    cell.end(&worker, &start, How::Done);
+    cell.end(&worker, &start, RunOutcome::Done);
     cell.submit(2, "urgent", vec![step(2, 1), Step { after: vec![0], ..step(1, 1) }]);
     let starts = cell.starts();
     cell.started(&starts[0].0, &starts[0].1);
@@ -261,12 +268,12 @@
     old.write();
 
     let mut new = Cell::after(1, 2, &old.log);
-    new.engine.list(new.clock(), new.infos.clone());
+    new.engine.update_workers(new.clock(), new.infos.clone());
     new.write();
     new.report(&worker, &[running(&start)], &[]);
     new.submit(2, "urgent", vec![step(1, 8)]);
     assert!(new.starts().is_empty(), "nobody knows what the run takes");
-    new.end(&worker, &start, How::Stopped);
+    new.end(&worker, &start, RunOutcome::Stopped);
     assert_eq!(new.starts().len(), 1);
 }
 
@@ -278,7 +285,7 @@
 
     let mut new = Cell::after(2, 2, &old.log);
     new.engine.predecessor_ended(Duration::ZERO);
-    new.engine.list(new.clock(), new.infos.clone());
+    new.engine.update_workers(new.clock(), new.infos.clone());
     new.write();
     new.now = Duration::from_millis(6_200);
     new.report("w1", &[], &[]);
@@ -310,8 +317,8 @@
 
     let mut new = Cell::after(1, 2, &log);
     let other = new.infos.remove("w0").expect("listed");
-    new.infos.insert("w7".to_owned(), sched::Info { address: "10.0.0.7:80".to_owned(), ..other });
-    new.engine.list(new.clock(), new.infos.clone());
+    new.infos.insert("w7".to_owned(), sched::WorkerInfo { address: "10.0.0.7:80".to_owned(), ..other });
+    new.engine.update_workers(new.clock(), new.infos.clone());
     new.write();
     new.report("w7", &[], &[]);
     new.now = Duration::from_secs(1);
@@ -334,7 +341,13 @@
     cell.submit(1, "urgent", vec![Step { gang: true, ..step(2, 9) }]);
     let starts = cell.starts();
     cell.started(&starts[0].0, &starts[0].1);
-    cell.engine.ordered(cell.clock(), &starts[1].0, starts[1].1.task, starts[1].1.attempt, OrderOutcome::Unknown);
+    cell.engine.start_answered(
+        cell.clock(),
+        &starts[1].0,
+        starts[1].1.task,
+        starts[1].1.attempt,
+        OrderOutcome::Unknown,
+    );
     let stops: Vec<_> = cell.plan().into_iter().filter(|action| matches!(action, Action::Stop(..))).collect();
     assert_eq!(stops.len(), 2, "the other would wait alone: {stops:?}");
 }
@@ -369,7 +382,7 @@
     old.submit(1, "urgent", vec![step(1, 1)]);
     for _ in 0..2 {
         let (worker, start) = old.starts().remove(0);
-        old.end(&worker, &start, How::Failed);
+        old.end(&worker, &start, RunOutcome::Failed);
     }
     // The part of the log with the end was never written.
     let log: Vec<Record> = old.log.into_iter().filter(|record| !matches!(record, Record::Ended { .. })).collect();
@@ -401,12 +414,12 @@
     cell.submit(1, "urgent", vec![step(1, 1)]);
     let (worker, start) = cell.starts().remove(0);
     cell.started(&worker, &start);
-    cell.end(&worker, &start, How::Failed);
+    cell.end(&worker, &start, RunOutcome::Failed);
     let (worker, start) = cell.starts().remove(0);
     cell.started(&worker, &start);
     // The next leader reads the log while it has no configuration yet, and hears of the last failure first.
     let mut next = Cell::unconfigured(2, 2, &cell.log).ready();
-    next.end(&worker, &start, How::Failed);
+    next.end(&worker, &start, RunOutcome::Failed);
     next.engine.configure(cell::config());
     assert!(next.starts().is_empty(), "two of two attempts have failed");
     next.write();
@@ -422,7 +435,7 @@
     let limits = sched::Limits { max_lease: Duration::from_secs(10), ..sched::Limits::example() };
     let mut new = Cell::limited(limits, 2, 2, &old.log);
     new.engine.predecessor_unknown();
-    new.engine.list(new.clock(), new.infos.clone());
+    new.engine.update_workers(new.clock(), new.infos.clone());
     new.write();
     // 7 s of authority, and leases of up to 10 s by a slow clock.
     new.now = Duration::from_millis(17_200);
@@ -438,15 +451,15 @@
     let mut cell = Cell::new(2).ready();
     cell.submit(1, "urgent", vec![step(1, 1)]);
     let (worker, start) = cell.starts().remove(0);
-    assert!(cell.engine.starting(&worker, start.task, start.attempt));
+    assert!(cell.engine.is_start_wanted(&worker, start.task, start.attempt));
     cell.engine.cancel(cell.clock(), 1);
-    assert!(!cell.engine.starting(&worker, start.task, start.attempt), "its job was cancelled");
+    assert!(!cell.engine.is_start_wanted(&worker, start.task, start.attempt), "its job was cancelled");
 
     cell.submit(2, "urgent", vec![step(1, 1)]);
     let (worker, start) = cell.starts().remove(0);
     cell.infos.get_mut(&worker).expect("listed").draining = true;
-    cell.engine.list(cell.clock(), cell.infos.clone());
-    assert!(!cell.engine.starting(&worker, start.task, start.attempt), "its worker leaves");
+    cell.engine.update_workers(cell.clock(), cell.infos.clone());
+    assert!(!cell.engine.is_start_wanted(&worker, start.task, start.attempt), "its worker leaves");
 }
 
 /// Callers see how many jobs wait: one whose start was recorded and never sent still does.
@@ -456,7 +469,7 @@
     old.submit(1, "urgent", vec![step(1, 1)]);
     let (worker, start) = old.starts().remove(0);
     let mut new = Cell::after(1, 2, &old.log);
-    new.engine.list(new.clock(), new.infos.clone());
+    new.engine.update_workers(new.clock(), new.infos.clone());
     new.write();
     assert_eq!(new.engine.waiting("urgent"), 0, "it may run");
     new.report(&worker, &[], &[]);
--- a/components/sched/tests/decisions/preempt.rs
+++ b/components/sched/tests/decisions/preempt.rs
@@ -1,7 +1,7 @@
 //! Room that is made for large urgent tasks by stopping less urgent ones.
 
 use model::Resources;
-use sched::{Action, How, Start};
+use sched::{Action, RunOutcome, Start};
 use work::Step;
 
 use crate::cell::{Cell, step};
@@ -32,19 +32,19 @@
     assert_eq!(patient.len(), 2);
     cell.submit(2, "urgent", vec![accelerated(1, 8)]);
     assert_eq!(stops(&mut cell), 2);
-    let made = cell.engine.take_made_room();
+    let made = cell.engine.take_preemptions();
     assert!(matches!(made.as_slice(), [one] if one.unit.job == 2 && one.stopped == 2), "{made:?}");
     assert_eq!(stops(&mut cell), 0, "once is enough");
 
     let (worker, first) = &patient[0];
-    cell.end_beside(worker, first, How::Stopped, &[crate::cell::running(&patient[1].1)]);
+    cell.end_beside(worker, first, RunOutcome::Stopped, &[crate::cell::running(&patient[1].1)]);
     assert!(cell.starts().is_empty(), "what was stopped doesn't take the room again");
-    cell.end(worker, &patient[1].1, How::Stopped);
+    cell.end(worker, &patient[1].1, RunOutcome::Stopped);
     let starts = cell.starts();
     assert_eq!(starts.len(), 1);
     assert_eq!(starts[0].1.task.unit.job, 2);
     cell.started(worker, &starts[0].1);
-    cell.end(worker, &starts[0].1, How::Done);
+    cell.end(worker, &starts[0].1, RunOutcome::Done);
     assert_eq!(cell.starts().len(), 2, "the patient ones go on");
 }
 
--- a/components/sched/tests/decisions/quota.rs
+++ b/components/sched/tests/decisions/quota.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use model::Resources;
-use sched::{Action, How, OrderOutcome, Start};
+use sched::{Action, OrderOutcome, RunOutcome, Start};
 use work::Step;
 
 use crate::cell::{Cell, limited_to, running, step};
@@ -35,7 +35,7 @@
     assert!(cell.starts().is_empty());
     let why = &cell.engine.explain(cell.clock(), 1).expect("it is kept").steps[0].why;
     assert!(why.contains("limit of workspace small: 6 cores, 200 MiB of 8 cores"), "{why}");
-    cell.end_beside(&first[0].0, &first[0].1, How::Done, &[running(&first[1].1)]);
+    cell.end_beside(&first[0].0, &first[0].1, RunOutcome::Done, &[running(&first[1].1)]);
     assert_eq!(cell.starts().len(), 1, "the next as soon as one is done");
     assert_eq!(used(&mut cell, "small"), 6);
 }
@@ -66,10 +66,10 @@
     let mut cell = Cell::shared(2).ready();
     cell.submit_for(SMALL, 1, "urgent", vec![step(1, 8)]);
     let (worker, start) = cell.starts().remove(0);
-    cell.engine.ordered(cell.clock(), &worker, start.task, start.attempt, OrderOutcome::Unknown);
+    cell.engine.start_answered(cell.clock(), &worker, start.task, start.attempt, OrderOutcome::Unknown);
     cell.submit_for(SMALL, 2, "urgent", vec![step(1, 1)]);
     assert!(cell.starts().is_empty(), "the first may still come");
-    cell.engine.stopped(&worker, start.task, start.attempt);
+    cell.engine.stop_accepted(&worker, start.task, start.attempt);
     assert!(cell.starts().is_empty(), "it may be ending");
     cell.report(&worker, &[], &[]);
     assert_eq!(cell.starts().len(), 1);
@@ -83,7 +83,7 @@
     assert_eq!(starts.len(), 2);
 
     let mut cell = Cell::shared_after(3, 2, &before.log);
-    cell.engine.list(cell.clock(), cell.infos.clone());
+    cell.engine.update_workers(cell.clock(), cell.infos.clone());
     cell.write();
     let unseen = starts[0].0.clone();
     let seen: Vec<String> = cell.infos.keys().filter(|id| **id != unseen).cloned().collect();
@@ -118,9 +118,10 @@
     let mut before = Cell::shared(2).ready();
     before.submit_for(SMALL, 1, "urgent", vec![step(1, 8), Step { after: vec![0], ..step(1, 8) }]);
     let (worker, start) = before.starts().remove(0);
-    before.engine.ordered(before.clock(), &worker, start.task, start.attempt, OrderOutcome::Unknown);
+    before.engine.start_answered(before.clock(), &worker, start.task, start.attempt, OrderOutcome::Unknown);
     let other = before.infos.keys().find(|id| **id != worker).cloned().expect("two workers");
-    let done = sched::End { number: 1, task: start.task, attempt: start.attempt, how: How::Done, saved: String::new() };
+    let done =
+        sched::End { number: 1, task: start.task, attempt: start.attempt, how: RunOutcome::Done, saved: String::new() };
     before.report(&other, &[], &[done]);
     before.write();
     let written = before.log.len();
@@ -129,7 +130,7 @@
     before.write();
 
     let mut cell = Cell::shared_after(2, 2, &before.log[written..]);
-    cell.engine.list(cell.clock(), cell.infos.clone());
+    cell.engine.update_workers(cell.clock(), cell.infos.clone());
     cell.write();
     cell.report(&other, &[], &[]);
     assert!(cell.starts().is_empty(), "8 of 8 cores may be in use");
@@ -147,7 +148,7 @@
     let removed = clean(&mut before);
 
     let mut cell = Cell::shared_after(2, 2, &before.log[removed..]);
-    cell.engine.list(cell.clock(), cell.infos.clone());
+    cell.engine.update_workers(cell.clock(), cell.infos.clone());
     cell.write();
     let others: Vec<String> = cell.infos.keys().filter(|id| **id != worker).cloned().collect();
     others.iter().for_each(|id| cell.report(id, &[], &[]));
@@ -156,7 +157,7 @@
     cell.report(&worker, &[running(&start)], &[]);
     let actions = cell.plan();
     assert!(matches!(actions.as_slice(), [Action::Stop(..)]), "{actions:?}");
-    cell.end(&worker, &start, How::Stopped);
+    cell.end(&worker, &start, RunOutcome::Stopped);
     assert_eq!(cell.starts().len(), 1);
 }
 
@@ -201,7 +202,7 @@
         assert!(cell.starts().is_empty(), "after {number} ends");
         let others: Vec<_> = small[number + 1..].iter().filter(|other| other.0 == *worker).collect();
         let others: Vec<_> = others.into_iter().map(|(_, start)| running(start)).collect();
-        cell.end_beside(worker, start, How::Done, &others);
+        cell.end_beside(worker, start, RunOutcome::Done, &others);
     }
     let starts = cell.starts();
     assert_eq!(starts.len(), 3);
@@ -220,7 +221,7 @@
     cell.submit_for(SMALL, 3, "patient", vec![step(3, 1)]);
     let actions = cell.plan();
     assert!(matches!(actions.as_slice(), [Action::Stop(..)]), "the small tasks wait for the gang: {actions:?}");
-    cell.end_beside(&patient[0].0, &patient[0].1, How::Stopped, &[running(&patient[1].1)]);
+    cell.end_beside(&patient[0].0, &patient[0].1, RunOutcome::Stopped, &[running(&patient[1].1)]);
     let jobs: Vec<_> = cell.starts().iter().map(|(_, start)| start.task.unit.job).collect();
     assert_eq!(jobs, [2, 2]);
 }
--- a/components/sched/tests/decisions/restart.rs
+++ b/components/sched/tests/decisions/restart.rs
@@ -12,7 +12,7 @@
 
 use std::time::Duration;
 
-use sched::{How, Start};
+use sched::{RunOutcome, Start};
 use work::{Outcome, State};
 
 use crate::cell::{Cell, step};
@@ -39,7 +39,7 @@
         Away::Soon => cell.now += SOON,
         Away::Late => {
             cell.now += LATE;
-            cell.engine.lapsed(cell.clock(), worker);
+            cell.engine.leases_expired(cell.clock(), worker);
         }
     }
     let ids: Vec<String> = cell.infos.keys().cloned().collect();
@@ -91,13 +91,13 @@
     for job in 1..=3 {
         cell.submit(job, "urgent", vec![step(1, 1)]);
         let (worker, start) = next_start(&mut cell).expect("it starts");
-        cell.end(&worker, &start, How::Done);
+        cell.end(&worker, &start, RunOutcome::Done);
     }
     cell.numbers.clear();
     cell.report("w0", &[], &[]);
     cell.submit(4, "urgent", vec![step(1, 1)]);
     let (worker, start) = next_start(&mut cell).expect("it starts");
-    cell.end(&worker, &start, How::Done);
+    cell.end(&worker, &start, RunOutcome::Done);
     assert!(cell.starts().is_empty(), "it is done");
     assert_eq!(cell.engine.state(4), Some(State::Ended(Outcome::Completed)));
     assert_eq!(cell.engine.acked("w0"), 1, "what is acknowledged is the next life's");
--- a/components/sched/tests/decisions/stall.rs
+++ b/components/sched/tests/decisions/stall.rs
@@ -21,18 +21,18 @@
     let mut cell = Cell::new(1).ready();
     cell.submit(1, "urgent", vec![step(1, 1)]);
     let (worker, start) = cell.starts().remove(0);
-    cell.engine.ordered(cell.clock(), &worker, start.task, start.attempt, OrderOutcome::Unknown);
+    cell.engine.start_answered(cell.clock(), &worker, start.task, start.attempt, OrderOutcome::Unknown);
     let found = stalls(&mut cell, LONG);
     assert_eq!(found.len(), 1);
     assert_eq!(
         (found[0].waiting, found[0].unlisted, found[0].named.as_slice()),
         (0, 1, [format!("{} on w0", start.task)].as_slice())
     );
-    assert_eq!(cell.engine.stalled(), 1);
+    assert_eq!(cell.engine.stalled_count(), 1);
     assert!(stalls(&mut cell, Duration::from_secs(3)).is_empty(), "it was reported");
     cell.report(&worker, &[running(&start)], &[]);
     assert!(stalls(&mut cell, Duration::from_secs(3)).is_empty(), "it runs");
-    assert_eq!(cell.engine.stalled(), 0);
+    assert_eq!(cell.engine.stalled_count(), 0);
 }
 
 #[test]
--- a/components/sched/tests/decisions/wide.rs
+++ b/components/sched/tests/decisions/wide.rs
@@ -104,7 +104,7 @@
             let until = now + question.validity;
             let healthy = question.workers.iter().filter(|worker| allowed(question.unit, worker));
             let tickets = healthy.map(|worker| (worker.clone(), Ticket { text: String::new(), until })).collect();
-            self.cell.engine.advised(question.unit, &question.workers, tickets);
+            self.cell.engine.advice_received(question.unit, &question.workers, tickets);
         }
     }
 }
--- a/components/sched/tests/decisions/workers.rs
+++ b/components/sched/tests/decisions/workers.rs
@@ -8,7 +8,7 @@
 fn a_leaving_worker_gets_nothing_new() {
     let mut cell = Cell::new(2).ready();
     cell.infos.get_mut("w0").expect("listed").draining = true;
-    cell.engine.list(cell.clock(), cell.infos.clone());
+    cell.engine.update_workers(cell.clock(), cell.infos.clone());
     cell.submit(1, "urgent", vec![step(4, 2)]);
     assert!(cell.starts().iter().all(|(worker, _)| worker == "w1"));
 }
@@ -21,11 +21,11 @@
     assert_eq!(cell.starts().len(), 1);
     let info = cell.infos.remove("w0").expect("listed");
     cell.infos.insert("w0-again".to_owned(), info);
-    cell.engine.list(cell.clock(), cell.infos.clone());
+    cell.engine.update_workers(cell.clock(), cell.infos.clone());
     cell.write();
     cell.report("w0-again", &[], &[]);
     assert!(cell.starts().is_empty(), "the task may still run there");
-    cell.engine.superseded(cell.clock(), "w0", None);
+    cell.engine.worker_replaced(cell.clock(), "w0", None);
     let starts = cell.starts();
     assert_eq!(starts.len(), 1);
     assert_eq!(starts[0].0, "w0-again");
@@ -47,12 +47,12 @@
     let sent = cell.starts();
     let waiting = sent.iter().find(|(worker, _)| worker == "w0").expect("one each");
     cell.infos.get_mut("w0").expect("listed").evacuated = true;
-    cell.engine.list(cell.clock(), cell.infos.clone());
-    assert!(!cell.engine.starting("w0", waiting.1.task, waiting.1.attempt), "not sent any more");
+    cell.engine.update_workers(cell.clock(), cell.infos.clone());
+    assert!(!cell.engine.is_start_wanted("w0", waiting.1.task, waiting.1.attempt), "not sent any more");
     cell.submit(2, "urgent", vec![step(8, 2)]);
     assert!(cell.starts().iter().all(|(worker, _)| worker == "w1"));
     cell.infos.get_mut("w0").expect("listed").evacuated = false;
-    cell.engine.list(cell.clock(), cell.infos.clone());
+    cell.engine.update_workers(cell.clock(), cell.infos.clone());
     assert!(cell.starts().iter().any(|(worker, _)| worker == "w0"));
 }
 
@@ -64,11 +64,11 @@
     cell.started(&worker, &start);
     let room = |cores| model::Resources::new(cores, 64_000, 0);
     cell.infos.get_mut("w0").expect("listed").capacity = room(8);
-    cell.engine.list(cell.clock(), cell.infos.clone());
+    cell.engine.update_workers(cell.clock(), cell.infos.clone());
     cell.submit(2, "urgent", vec![step(2, 2)]);
     assert!(cell.starts().is_empty(), "what runs takes more than there is, and goes on");
     cell.infos.get_mut("w0").expect("listed").capacity = room(12);
-    cell.engine.list(cell.clock(), cell.infos.clone());
+    cell.engine.update_workers(cell.clock(), cell.infos.clone());
     assert_eq!(cell.starts().len(), 1, "it has grown by one of them");
 }
 
@@ -84,12 +84,12 @@
     cell.engine.plan(cell.clock());
     let room = |cores| model::Resources::new(cores, 64_000, 0);
     cell.infos.get_mut("w0").expect("listed").capacity = room(8);
-    cell.engine.list(cell.clock(), cell.infos.clone());
+    cell.engine.update_workers(cell.clock(), cell.infos.clone());
     cell.write();
     assert!(cell.engine.take_actions().is_empty(), "12 cores of 8");
     assert!(cell.starts().is_empty());
     cell.infos.get_mut("w0").expect("listed").capacity = room(16);
-    cell.engine.list(cell.clock(), cell.infos.clone());
+    cell.engine.update_workers(cell.clock(), cell.infos.clone());
     assert_eq!(cell.starts().len(), 1);
 }
 
@@ -99,8 +99,8 @@
     let mut cell = Cell::new(1).ready();
     cell.submit(1, "urgent", vec![step(1, 12)]);
     let (worker, start) = cell.starts().remove(0);
-    assert!(cell.engine.starting(&worker, start.task, start.attempt));
+    assert!(cell.engine.is_start_wanted(&worker, start.task, start.attempt));
     cell.infos.get_mut("w0").expect("listed").capacity = model::Resources::new(8, 64_000, 0);
-    cell.engine.list(cell.clock(), cell.infos.clone());
-    assert!(!cell.engine.starting(&worker, start.task, start.attempt));
+    cell.engine.update_workers(cell.clock(), cell.infos.clone());
+    assert!(!cell.engine.is_start_wanted(&worker, start.task, start.attempt));
 }
--- a/components/sched/tests/latency.rs
+++ b/components/sched/tests/latency.rs
@@ -10,7 +10,7 @@
 fn after(answers: &[u64]) -> Duration {
     let mut latency = Latency::default();
     answers.iter().for_each(|took| latency.observe(Duration::from_millis(*took)));
-    latency.patience(LEAST, MOST)
+    latency.timeout(LEAST, MOST)
 }
 
 #[test]
@@ -40,10 +40,10 @@
 fn answers_that_become_slow_are_learnt_of() {
     let mut latency = Latency::default();
     (0..20).for_each(|_| latency.observe(Duration::from_millis(5)));
-    latency.miss();
-    assert_eq!(latency.patience(LEAST, MOST), 2 * LEAST);
-    (0..9).for_each(|_| latency.miss());
-    assert_eq!(latency.patience(LEAST, MOST), MOST);
+    latency.record_timeout();
+    assert_eq!(latency.timeout(LEAST, MOST), 2 * LEAST);
+    (0..9).for_each(|_| latency.record_timeout());
+    assert_eq!(latency.timeout(LEAST, MOST), MOST);
     latency.observe(Duration::from_millis(5));
-    assert_eq!(latency.patience(LEAST, MOST), LEAST, "a single one was lost");
+    assert_eq!(latency.timeout(LEAST, MOST), LEAST, "a single one was lost");
 }
--- a/components/sched/tests/world/crashes.rs
+++ b/components/sched/tests/world/crashes.rs
@@ -6,7 +6,7 @@
 
 use fakes::runner::Runner;
 use rand::Rng;
-use sched::Info;
+use sched::WorkerInfo;
 use work::{Attempt, JobId, Life, Outcome, State, Task, Term, WorkerId};
 
 use super::{MAX_ATTEMPTS, World};
@@ -31,7 +31,7 @@
     /// Workers that go down with the next step.
     next: Vec<WorkerId>,
     /// Entries of workers that went down, and until when they are listed.
-    lingering: BTreeMap<WorkerId, (Info, Duration)>,
+    lingering: BTreeMap<WorkerId, (WorkerInfo, Duration)>,
     /// Places of machines that come back, and when.
     returning: Vec<(usize, Duration)>,
     /// Starts of each such task by the newest leader; each took a worker down.
@@ -103,7 +103,7 @@
 
     /// The platform's list: workers, and entries of dead ones that haven't run out. Under one name there is one entry: that of a next life is
     /// written once the former one would have run out.
-    pub(super) fn listed(&self) -> BTreeMap<WorkerId, Info> {
+    pub(super) fn listed(&self) -> BTreeMap<WorkerId, WorkerInfo> {
         let lingering: Vec<_> = self.crashes.iter().flat_map(|crashes| &crashes.lingering).collect();
         let hidden = |id: &str| lingering.iter().any(|(former, _)| Life::of(former).name == Life::of(id).name);
         let workers = self.workers.iter().filter(|(id, _)| !hidden(id)).map(|(id, worker)| (id, &worker.info));
--- a/components/sched/tests/world/leader.rs
+++ b/components/sched/tests/world/leader.rs
@@ -33,7 +33,7 @@
     }
 
     pub fn authorized(&self, now: Duration) -> bool {
-        now - self.confirmed < sched::AUTHORITY
+        now - self.confirmed < sched::AUTHORITY_TIMEOUT
     }
 
     /// Takes what the engine wants done: starts and questions are returned, stops are kept until they are answered.
--- a/components/sched/tests/world/lies.rs
+++ b/components/sched/tests/world/lies.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use rand::Rng;
-use sched::Info;
+use sched::WorkerInfo;
 use work::WorkerId;
 
 use super::World;
@@ -16,7 +16,7 @@
 /// How long one lasts, in milliseconds.
 const LASTS_MS: std::ops::Range<u64> = 200..4000;
 
-type List = BTreeMap<WorkerId, Info>;
+type List = BTreeMap<WorkerId, WorkerInfo>;
 
 /// What is wrong with the list.
 #[derive(Clone, Debug)]
--- a/components/sched/tests/world/mod.rs
+++ b/components/sched/tests/world/mod.rs
@@ -13,7 +13,7 @@
 use model::Resources;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use sched::{Action, Clock, How, OrderOutcome, Report, Start, Ticket};
+use sched::{Action, Clock, OrderOutcome, Report, RunOutcome, Start, Ticket};
 use work::{Advice, Attempt, Config, Job, JobId, Life, Outcome, Queue, Record, Task, Term, WorkerId, Workspace};
 
 use crashes::Crashes;
@@ -240,7 +240,7 @@
             leader.confirmed = self.now;
             self.commit(&mut leader);
             let shown = self.shown(trouble);
-            leader.engine.list(clock, shown);
+            leader.engine.update_workers(clock, shown);
         }
         if !leader.authorized(self.now) {
             return current.then_some(leader);
@@ -256,7 +256,7 @@
                     let until = self.now + question.validity;
                     let good = question.workers.iter().filter(|id| self.advisable(id));
                     let tickets = good.map(|id| (id.clone(), Ticket { text: String::new(), until })).collect();
-                    leader.engine.advised(question.unit, &question.workers, tickets);
+                    leader.engine.advice_received(question.unit, &question.workers, tickets);
                 }
                 Action::Stop(..) | Action::Forget(_) => unreachable!("kept by the leader"),
             }
@@ -329,22 +329,22 @@
             let pause = self.rng.random_range(60..400);
             leader.next_hold.insert(id.clone(), self.now + Duration::from_millis(pause));
             if self.replaced(&id, &address) {
-                leader.engine.superseded(clock, &id, None);
+                leader.engine.worker_replaced(clock, &id, None);
                 continue;
             }
             let lease = leader.leases.entry(id.clone()).or_default();
-            let until = lease.end(self.now, MAX_LEASE);
+            let until = lease.expiry(self.now, MAX_LEASE);
             let (mark, acked) = (leader.engine.mark(), leader.engine.acked(&id));
             let life = self.reached(&id);
             let reached = life.as_ref().and_then(|life| self.workers.get_mut(life)).filter(|worker| worker.reachable);
             let Some(worker) = reached else {
-                if lease.lapsed(self.now) {
-                    leader.engine.lapsed(clock, &id);
+                if lease.is_expired(self.now) {
+                    leader.engine.leases_expired(clock, &id);
                 }
                 continue;
             };
             if let Some(until) = until {
-                lease.gave(until);
+                lease.grant(until);
             }
             let other = life.filter(|life| *life != id);
             // After the silence of a worker that has started again nothing is acknowledged, and its leases are cut to the longest.
@@ -353,9 +353,9 @@
                 false => (acked, until),
             };
             match worker.hold(leader.term, until, acked) {
-                Ok(_) if other.is_some() => leader.engine.superseded(clock, &id, other),
+                Ok(_) if other.is_some() => leader.engine.worker_replaced(clock, &id, other),
                 Ok((running, ended)) => {
-                    lease.read(self.now, self.now, MAX_LEASE);
+                    lease.observe_clock(self.now, self.now, MAX_LEASE);
                     leader.engine.report(clock, &id, Report { mark, running, ended });
                 }
                 Err(_) => return false,
@@ -371,7 +371,7 @@
             let lost = trouble && self.rng.random_bool(0.2);
             match reached.map(|worker| worker.stop(leader.term, task, attempt)) {
                 Some(Reply::Fenced) => return false,
-                Some(_) if !lost => leader.engine.stopped(&id, task, attempt),
+                Some(_) if !lost => leader.engine.stop_accepted(&id, task, attempt),
                 _ => leader.stops.push((id, task, attempt)),
             }
         }
@@ -380,16 +380,16 @@
 
     fn order(&mut self, leader: &mut Leader, id: WorkerId, start: Start, trouble: bool) {
         let clock = self.clock();
-        let until = leader.leases.get(&id).and_then(|lease| lease.end(self.now, MAX_LEASE));
+        let until = leader.leases.get(&id).and_then(|lease| lease.expiry(self.now, MAX_LEASE));
         let (task, attempt) = (start.task, start.attempt);
         let life = self.reached(&id);
         let reachable = life.and_then(|life| self.workers.get(&life)).is_some_and(|worker| worker.reachable);
         let (Some(until), true) = (until, reachable) else {
-            leader.engine.ordered(clock, &id, task, attempt, OrderOutcome::Refused);
+            leader.engine.start_answered(clock, &id, task, attempt, OrderOutcome::Refused);
             return;
         };
         if let Some(lease) = leader.leases.get_mut(&id) {
-            lease.gave(until);
+            lease.grant(until);
         }
         if trouble && self.rng.random_bool(0.1) {
             let delay = Duration::from_millis(self.rng.random_range(0..12_000));
@@ -401,7 +401,7 @@
                 until,
                 start,
             });
-            leader.engine.ordered(clock, &id, task, attempt, OrderOutcome::Unknown);
+            leader.engine.start_answered(clock, &id, task, attempt, OrderOutcome::Unknown);
             return;
         }
         let outcome = match self.arrive(self.now, &id, leader.term, until, &start) {
@@ -409,7 +409,7 @@
             Reply::Done => OrderOutcome::Started,
             Reply::Fenced | Reply::Refused => OrderOutcome::Refused,
         };
-        leader.engine.ordered(clock, &id, task, attempt, outcome);
+        leader.engine.start_answered(clock, &id, task, attempt, outcome);
     }
 
     /// A start that was sent at this time reaches its worker.
@@ -417,7 +417,7 @@
         let job = self.jobs.get(&start.task.unit.job).expect("only jobs that were submitted").clone();
         let step = &job.steps[usize::from(start.task.unit.step)];
         let ends = self.now + Duration::from_millis(self.rng.random_range(100..3000));
-        let how = if self.rng.random_bool(0.1) { How::Failed } else { How::Done };
+        let how = if self.rng.random_bool(0.1) { RunOutcome::Failed } else { RunOutcome::Done };
         let run = Run { need: step.need, ends, how };
         let key = (start.task, start.attempt);
         let Some(life) = self.reached(id) else { return Reply::Refused };
@@ -445,9 +445,10 @@
 
     fn tick_workers(&mut self) {
         let now = self.now;
-        let ended: Vec<(Task, Attempt, How)> = self.workers.values_mut().flat_map(|worker| worker.tick(now)).collect();
+        let ended: Vec<(Task, Attempt, RunOutcome)> =
+            self.workers.values_mut().flat_map(|worker| worker.tick(now)).collect();
         for (task, _, how) in ended {
-            if how == How::Done {
+            if how == RunOutcome::Done {
                 self.done.insert(task);
             }
         }
