--- a/components/sched/src/advice.rs
+++ b/components/sched/src/advice.rs
@@ -27,7 +27,7 @@
 
 /// What is known of a unit's workers.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Known {
+pub(crate) struct UnitAdvice {
     /// Workers that were named in an answered question.
     pub asked: BTreeSet<WorkerId>,
     /// Those that may run it, each with its last ticket.
@@ -43,14 +43,14 @@
 pub(crate) struct Shares(BTreeMap<QueueName, (f64, f64)>);
 
 /// Share expected before the first answers: below what most queues show, so that questions name enough.
-const FIRST_SHARE: f64 = 0.4;
+const PRIOR_SHARE: f64 = 0.4;
 /// Weight of the expectation against answers, in named workers.
-const FIRST_WEIGHT: f64 = 20.0;
+const PRIOR_WEIGHT: f64 = 20.0;
 
 impl Shares {
     pub(crate) fn get(&self, queue: &str) -> f64 {
         let (named, good) = self.0.get(queue).copied().unwrap_or_default();
-        (FIRST_SHARE * FIRST_WEIGHT + good) / (FIRST_WEIGHT + named)
+        (PRIOR_SHARE * PRIOR_WEIGHT + good) / (PRIOR_WEIGHT + named)
     }
 
     fn add(&mut self, queue: &str, named: usize, good: usize) {
@@ -60,7 +60,7 @@
     }
 }
 
-impl Known {
+impl UnitAdvice {
     /// Whether a start that reaches this worker by `until` may be sent.
     pub(crate) fn allows(&self, worker: &str, until: Duration) -> bool {
         self.healthy.get(worker).is_some_and(|ticket| ticket.holds(until))
@@ -90,16 +90,16 @@
     pub fn advice_received(&mut self, unit: Unit, asked: &[WorkerId], healthy: Vec<(WorkerId, Ticket)>) {
         self.count_shares(unit, asked, &healthy);
         let Some(state) = self.unit_mut(unit) else { return };
-        state.known.answered(asked);
-        state.look_at = Duration::ZERO;
-        state.known.asked.extend(asked.iter().cloned());
-        state.known.healthy.extend(healthy);
+        state.advice.answered(asked);
+        state.retry_at = Duration::ZERO;
+        state.advice.asked.extend(asked.iter().cloned());
+        state.advice.healthy.extend(healthy);
     }
 
     /// A question about `asked` got no answer.
     pub fn advice_failed(&mut self, unit: Unit, asked: &[WorkerId]) {
         if let Some(state) = self.unit_mut(unit) {
-            state.known.answered(asked);
+            state.advice.answered(asked);
         }
     }
 
@@ -107,7 +107,7 @@
     fn count_shares(&mut self, unit: Unit, asked: &[WorkerId], healthy: &[(WorkerId, Ticket)]) {
         let Some(entry) = self.jobs.get(&unit.job) else { return };
         let Some(state) = entry.units.get(&(unit.round, unit.step)) else { return };
-        let new = |worker: &&WorkerId| !state.known.asked.contains(*worker);
+        let new = |worker: &&WorkerId| !state.advice.asked.contains(*worker);
         let named = asked.iter().filter(new).count();
         let good = healthy.iter().map(|(worker, _)| worker).filter(new).count();
         let queue = entry.queue.clone();
@@ -116,7 +116,7 @@
 
     pub(crate) fn drop_ticket(&mut self, unit: Unit, worker: &str) {
         if let Some(state) = self.unit_mut(unit)
-            && let Some(ticket) = state.known.healthy.get_mut(worker)
+            && let Some(ticket) = state.advice.healthy.get_mut(worker)
         {
             ticket.until = Duration::ZERO;
         }
--- a/components/sched/src/assemble.rs
+++ b/components/sched/src/assemble.rs
@@ -13,21 +13,21 @@
 use crate::entry::UnitState;
 use crate::preempt::{Claim, Preemption, stoppable, weight};
 use crate::room::{Place, Room};
-use crate::worker::{Doubt, Phase, Worker};
+use crate::worker::{Health, Phase, Worker};
 
 /// On larger fleets the processor of the leader's host is what binds, and stops and the starts that they lead to cost more than they gain.
-const MOST_WORKERS: usize = 600;
+const MAX_WORKERS: usize = 600;
 /// Room for a gang is put together anew after this time: about as often as room changes, like questions to the adviser.
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// ... and after this time once there is room for all of it.
-const LOOK_AFTER: Duration = Duration::from_millis(150);
+const REFRESH_INTERVAL: Duration = Duration::from_millis(150);
 /// How long the claims of one look are kept: two looks, which a busy leader may take longer for.
-const KEPT: Duration = Duration::from_millis(400);
+const CLAIM_TTL: Duration = Duration::from_millis(400);
 /// Stops take up to this long: a gang for which room is made must be able to wait for it, and its tickets must hold beyond it.
-pub(crate) const LONGEST_STOP: Duration = Duration::from_millis(900);
+pub(crate) const MAX_STOP_TIME: Duration = Duration::from_millis(900);
 /// A job whose tasks are stopped must have this much time to spare: the stop takes up to 0.9 s, a new place and the way back to the
 /// checkpoint another second.
-const PATIENCE: Duration = Duration::from_secs(2);
+const MIN_VICTIM_SLACK: Duration = Duration::from_secs(2);
 
 /// What one worker can give.
 struct Offer<'a> {
@@ -46,7 +46,7 @@
 
 /// Room that comes free or can be made on workers for gangs of one priority.
 #[derive(Debug)]
-pub(crate) struct Patience {
+pub(crate) struct Reclaimable {
     at: Duration,
     rooms: HashMap<WorkerId, Resources>,
 }
@@ -86,13 +86,13 @@
 
 impl Engine {
     /// Whether the leader's host has the processor for more than starting what fits.
-    pub(crate) fn spares_processor(&self) -> bool {
-        self.workers.len() <= MOST_WORKERS
+    pub(crate) fn has_spare_processor(&self) -> bool {
+        self.workers.len() <= MAX_WORKERS
     }
 
     /// Whether room is put together for a unit: a gang that is in time after a stop. What would be stopped for late ones makes others late.
     pub(crate) fn assembles(&self, clock: Clock, unit: Unit, step: &Step) -> bool {
-        step.gang && self.spares_processor() && self.can_wait(clock, unit, LONGEST_STOP)
+        step.gang && self.has_spare_processor() && self.can_wait(clock, unit, MAX_STOP_TIME)
     }
 
     /// Claims room for all of a gang that waits, and stops what must go for it. Nothing where that isn't enough.
@@ -104,18 +104,18 @@
         if !self.unit(unit).is_some_and(due) {
             return;
         }
-        self.look_for_patience(clock, queue.priority);
+        self.refresh_reclaimable(clock, queue.priority);
         let Some(state) = self.unit(unit) else { return };
         let offers = self.offers(clock, state, step, queue, room);
         let chosen = choose(self.with_stoppable(clock, offers, state, step, queue.priority), state, step);
-        let again = if chosen.is_empty() { LOOK_AGAIN } else { LOOK_AFTER };
+        let again = if chosen.is_empty() { RETRY_INTERVAL } else { REFRESH_INTERVAL };
         let mut claims = Vec::new();
         let mut stops = Vec::new();
         let mut missing = state.pending;
         for offer in chosen {
             let tasks = offer.tasks.min(missing);
             missing -= tasks;
-            claims.push(Claim { worker: offer.place.id.clone(), tasks, until: clock.now + KEPT });
+            claims.push(Claim { worker: offer.place.id.clone(), tasks, until: clock.now + CLAIM_TTL });
             stops.push((offer.place.id.clone(), offer.stops));
         }
         if let Some(state) = self.unit_mut(unit) {
@@ -137,15 +137,15 @@
         queue: &Queue,
         room: &'a Room,
     ) -> Vec<Offer<'a>> {
-        let reached = self.reached(clock);
-        let allowed = |place: &&Place| queue.advice.is_none() || state.known.healthy.contains_key(&place.id);
-        let suits = |place: &&Place| place.doubt <= Doubt::Some && place.suits(queue, step);
+        let start_arrival = self.start_arrival(clock);
+        let allowed = |place: &&Place| queue.advice.is_none() || state.advice.healthy.contains_key(&place.id);
+        let suits = |place: &&Place| place.health <= Health::Degraded && place.suits(queue, step);
         let places = room.places.iter().filter(allowed).filter(suits);
         let offer = |place: &'a Place| {
             let worker = self.workers.get(&place.id)?;
             let free = place.free_after(&ending(worker));
             let tasks = place.tasks_in(&free, state, step);
-            let ticket = queue.advice.is_none() || state.known.allows(&place.id, reached);
+            let ticket = queue.advice.is_none() || state.advice.allows(&place.id, start_arrival);
             Some(Offer { place, free, tasks, ticket, stoppable: Vec::new(), stops: Vec::new() })
         };
         places.filter_map(offer).collect()
@@ -164,46 +164,46 @@
             return offers;
         }
         let most = |offer: &Offer| {
-            let free = offer.place.free_after(&self.patient_room(&offer.place.id, priority));
+            let free = offer.place.free_after(&self.reclaimable_room(&offer.place.id, priority));
             offer.place.tasks_in(&free, state, step).max(offer.tasks)
         };
         if offers.iter().map(most).sum::<usize>() < state.pending {
             return offers;
         }
         for offer in &mut offers {
-            if self.patient_room(&offer.place.id, priority) == Resources::ZERO {
+            if self.reclaimable_room(&offer.place.id, priority) == Resources::ZERO {
                 continue;
             }
             let Some(worker) = self.workers.get(&offer.place.id) else { continue };
-            offer.stoppable = self.patient_runs(clock, worker, priority);
+            offer.stoppable = self.reclaimable_runs(clock, worker, priority);
             offer.stoppable.sort_by_key(|(_, need)| std::cmp::Reverse(weight(need)));
         }
         offers
     }
 
     /// Runs on a worker that may be stopped for a more urgent queue, and whose jobs will still be on time.
-    fn patient_runs(&self, clock: Clock, worker: &Worker, priority: u32) -> Vec<((Task, Attempt), Resources)> {
-        stoppable(worker, priority).filter(|((task, _), _)| self.can_wait(clock, task.unit, PATIENCE)).collect()
+    fn reclaimable_runs(&self, clock: Clock, worker: &Worker, priority: u32) -> Vec<((Task, Attempt), Resources)> {
+        stoppable(worker, priority).filter(|((task, _), _)| self.can_wait(clock, task.unit, MIN_VICTIM_SLACK)).collect()
     }
 
     /// Brings up to date how much room each worker could give a gang of this priority, now and then.
-    pub(crate) fn look_for_patience(&mut self, clock: Clock, priority: u32) {
-        let known = self.patience.get(&priority);
-        if known.is_some_and(|known| clock.now < known.at + LOOK_AGAIN) {
+    pub(crate) fn refresh_reclaimable(&mut self, clock: Clock, priority: u32) {
+        let known = self.reclaimable.get(&priority);
+        if known.is_some_and(|known| clock.now < known.at + RETRY_INTERVAL) {
             return;
         }
         let room = |(id, worker): (&WorkerId, &Worker)| {
-            let runs = self.patient_runs(clock, worker, priority);
+            let runs = self.reclaimable_runs(clock, worker, priority);
             let sum = runs.iter().fold(ending(worker), |sum, (_, need)| sum.saturating_add(need));
             (sum != Resources::ZERO).then(|| (id.clone(), sum))
         };
         let rooms = self.workers.iter().filter_map(room).collect();
-        self.patience.insert(priority, Patience { at: clock.now, rooms });
+        self.reclaimable.insert(priority, Reclaimable { at: clock.now, rooms });
     }
 
     /// Room that a worker could give a gang of this priority besides what is free, as last looked for.
-    pub(crate) fn patient_room(&self, worker: &str, priority: u32) -> Resources {
-        let known = self.patience.get(&priority).and_then(|known| known.rooms.get(worker));
+    pub(crate) fn reclaimable_room(&self, worker: &str, priority: u32) -> Resources {
+        let known = self.reclaimable.get(&priority).and_then(|known| known.rooms.get(worker));
         known.copied().unwrap_or(Resources::ZERO)
     }
 }
--- a/components/sched/src/turn.rs
+++ b/components/sched/src/call_order.rs
@@ -10,7 +10,7 @@
 
 /// Why a worker is called when it is; the least goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Turn {
+enum CallPriority {
     /// Tasks of a queue of this priority, which an earlier leader placed there, wait for what became of them.
     Awaited(u32),
     /// Waiting tasks may go there.
@@ -22,23 +22,23 @@
 impl Engine {
     /// Workers that aren't held yet, id and address, in the order in which they are to be called.
     pub fn workers_to_contact(&self, held: impl Fn(&WorkerId) -> bool) -> Vec<(WorkerId, String)> {
-        let mut found: Vec<(Turn, &WorkerId, &Worker)> = self
+        let mut found: Vec<(CallPriority, &WorkerId, &Worker)> = self
             .workers
             .iter()
             .filter(|(id, worker)| !worker.info.address.is_empty() && !held(id))
-            .map(|(id, worker)| (self.turn(worker), id, worker))
+            .map(|(id, worker)| (self.call_priority(worker), id, worker))
             .collect();
         // Stable: within a turn the order is that of the names.
-        found.sort_by_key(|(turn, _, _)| *turn);
+        found.sort_by_key(|(call_priority, _, _)| *call_priority);
         found.into_iter().map(|(_, id, worker)| (id.clone(), worker.info.address.clone())).collect()
     }
 
-    fn turn(&self, worker: &Worker) -> Turn {
-        let waiting = worker.left.iter().filter_map(|lost| self.waiting_priority(lost.task));
+    fn call_priority(&self, worker: &Worker) -> CallPriority {
+        let waiting = worker.possibly_lost.iter().filter_map(|lost| self.waiting_priority(lost.task));
         match waiting.min() {
-            Some(priority) => Turn::Awaited(priority),
-            None if worker.info.is_open() => Turn::Open,
-            None => Turn::Closed,
+            Some(priority) => CallPriority::Awaited(priority),
+            None if worker.info.is_open() => CallPriority::Open,
+            None => CallPriority::Closed,
         }
     }
 
--- a/components/sched/src/blame.rs
+++ b/components/sched/src/crashes.rs
@@ -12,18 +12,18 @@
 
 use crate::engine::{Clock, Engine};
 use crate::entry::{Phase, TaskState, UnitState};
-use crate::loss::{EndedWorker, LostRun, WorkerEndReason};
+use crate::lost_runs::{EndedWorker, LostRun, WorkerEndReason};
 
 /// A task is given up once it alone can have taken so many workers down. The platform would let two do: but a start that a worker had just
 /// answered when it went down for a reason of its own looks the same, and twice is no rare chance.
-const CONCLUSIVE: usize = 3;
+const MAX_SOLE_ENDS: usize = 3;
 /// ... or once so many workers have ended under it: the most that the platform lets a task cause.
-const MOST_ENDS: usize = 5;
+const MAX_WORKER_ENDS: usize = 5;
 /// A lasting task that has served for so long isn't what took its worker down, and what was held against it before is forgotten: else
 /// ends of workers for their own reasons would add up over its days.
-const SERVED: Duration = Duration::from_secs(30);
+const CLEARED_AFTER: Duration = Duration::from_secs(30);
 /// A suspect waits this long for a place where nothing has just begun: on a busy pool of few workers there may be none.
-const APART: Duration = Duration::from_secs(2);
+const ISOLATION_WAIT: Duration = Duration::from_secs(2);
 
 /// The end of a worker, held against a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -37,7 +37,7 @@
 impl TaskState {
     /// Holds the end of a worker against the task. Whether that is news: each run ends once, with one of the lives that may have carried its
     /// order out. A worker may end again and again under its id, with another run each time.
-    pub(crate) fn hold_against(&mut self, crash: Crash) -> bool {
+    pub(crate) fn record_crash(&mut self, crash: Crash) -> bool {
         if crash.evidence == Evidence::Cleared {
             return !std::mem::take(&mut self.crashes).is_empty();
         }
@@ -51,7 +51,7 @@
     }
 
     /// A worker lists a run of the task, which isn't what takes workers down as it begins, then. The ends still count.
-    pub(crate) fn survived(&mut self) {
+    pub(crate) fn mark_survived(&mut self) {
         self.crashes.iter_mut().for_each(|crash| crash.evidence = Evidence::Weak);
     }
 
@@ -61,17 +61,17 @@
     }
 
     /// Whether too many workers have ended under the task.
-    pub(crate) fn takes_workers_down(&self) -> bool {
+    pub(crate) fn crashes_workers(&self) -> bool {
         let sole = self.crashes.iter().filter(|crash| crash.evidence == Evidence::Sole).count();
-        sole >= CONCLUSIVE || self.crashes.len() >= MOST_ENDS
+        sole >= MAX_SOLE_ENDS || self.crashes.len() >= MAX_WORKER_ENDS
     }
 }
 
 impl UnitState {
     /// Whether a task that waits may have taken as many workers down as one may, once what became of the silent ones is known. Till then it
     /// isn't started: leases run out before a worker is known to have ended, and it would start anew with each.
-    pub(crate) fn awaits_ends(&self) -> bool {
-        let doubtful = |task: &TaskState| task.silent > 0 && task.crashes.len() + task.silent >= MOST_ENDS;
+    pub(crate) fn awaits_worker_ends(&self) -> bool {
+        let doubtful = |task: &TaskState| task.silent > 0 && task.crashes.len() + task.silent >= MAX_WORKER_ENDS;
         self.tasks.iter().any(|task| task.phase == Phase::Pending && doubtful(task))
     }
 
@@ -81,13 +81,13 @@
     }
 
     /// Begins to look for places for suspects, apart from others for a while.
-    pub(crate) fn look_apart(&mut self, now: Duration) {
-        self.apart_until = self.has_suspects().then(|| self.apart_until.unwrap_or(now + APART));
+    pub(crate) fn update_isolation(&mut self, now: Duration) {
+        self.isolated_until = self.has_suspects().then(|| self.isolated_until.unwrap_or(now + ISOLATION_WAIT));
     }
 
     /// Whether suspects still wait for a place where nothing has just begun.
-    pub(crate) fn insists_on_apart(&self, now: Duration) -> bool {
-        self.apart_until.is_some_and(|until| now < until)
+    pub(crate) fn requires_isolation(&self, now: Duration) -> bool {
+        self.isolated_until.is_some_and(|until| now < until)
     }
 }
 
@@ -97,7 +97,7 @@
 /// is taken for gone, too. One that had announced its end took along what it ran. Where a suspect was tried, that explains what happened to
 /// runs that had begun before.
 fn evidence(ended: &EndedWorker, lost: &LostRun) -> Option<Evidence> {
-    if lost.lasting && lost.seen_running && lost.age >= SERVED {
+    if lost.lasting && lost.seen_running && lost.age >= CLEARED_AFTER {
         return Some(Evidence::Cleared);
     }
     if lost.seen_running {
@@ -119,16 +119,16 @@
 
 impl Engine {
     /// Takes note that a worker is silent under which these runs may have taken it down: not those that it had listed for a moment.
-    pub(crate) fn doubt(&mut self, left: &[LostRun]) {
-        self.count_silent(left, |silent| silent + 1);
+    pub(crate) fn add_silent(&mut self, left: &[LostRun]) {
+        self.change_silent(left, |silent| silent + 1);
     }
 
     /// Takes that back: the worker has answered, or is known to have ended.
-    pub(crate) fn undoubt(&mut self, left: &[LostRun]) {
-        self.count_silent(left, |silent| silent.saturating_sub(1));
+    pub(crate) fn remove_silent(&mut self, left: &[LostRun]) {
+        self.change_silent(left, |silent| silent.saturating_sub(1));
     }
 
-    fn count_silent(&mut self, left: &[LostRun], change: impl Fn(usize) -> usize) {
+    fn change_silent(&mut self, left: &[LostRun], change: impl Fn(usize) -> usize) {
         for lost in left.iter().filter(|lost| lost.may_have_begun_last()) {
             if let Some(state) = self.task_mut(lost.task) {
                 state.silent = change(state.silent);
@@ -137,8 +137,8 @@
     }
 
     /// Holds the end of a worker against the tasks that were there, each once. The jobs that are to be given up for it.
-    pub(crate) fn hold_against(&mut self, ended: &mut EndedWorker) -> BTreeSet<JobId> {
-        let mut spent = BTreeSet::new();
+    pub(crate) fn attribute_end(&mut self, ended: &mut EndedWorker) -> BTreeSet<JobId> {
+        let mut exhausted = BTreeSet::new();
         let mut held = BTreeSet::new();
         for index in 0..ended.runs.len() {
             let LostRun { task, attempt, .. } = ended.runs[index];
@@ -146,19 +146,19 @@
             let Some(state) = self.open_task(task) else { continue };
             let worker = ended.worker.clone();
             // What was left of an earlier run of the task may have been there, too.
-            if !held.insert(task) || !state.hold_against(Crash { worker: worker.clone(), attempt, evidence }) {
+            if !held.insert(task) || !state.record_crash(Crash { worker: worker.clone(), attempt, evidence }) {
                 continue;
             }
             let lost = &mut ended.runs[index];
             lost.evidence = Some(evidence);
             lost.ends = state.crashes.len();
-            lost.given_up = state.takes_workers_down();
+            lost.given_up = state.crashes_workers();
             if lost.given_up {
-                spent.insert(task.unit.job);
+                exhausted.insert(task.unit.job);
             }
             self.record(Record::RunLost { task, attempt, worker, evidence });
         }
-        spent
+        exhausted
     }
 
     /// A task that isn't done, of a job that hasn't ended.
@@ -176,7 +176,7 @@
     }
 
     /// Gives jobs up: they have failed.
-    pub(crate) fn give_up(&mut self, clock: Clock, jobs: impl IntoIterator<Item = JobId>) {
+    pub(crate) fn fail_jobs(&mut self, clock: Clock, jobs: impl IntoIterator<Item = JobId>) {
         for id in jobs {
             self.end(clock, id, Outcome::Failed);
             self.stop_all(id);
--- a/components/sched/src/engine.rs
+++ b/components/sched/src/engine.rs
@@ -9,11 +9,11 @@
 };
 
 use crate::advice::Shares;
-use crate::assemble::Patience;
+use crate::assemble::Reclaimable;
 use crate::entry::{Accepted, Begun, Ended, Entry, Phase, TaskState, UnitState};
 use crate::latency::Latency;
 use crate::limits::{AUTHORITY_TIMEOUT, Limits};
-use crate::loss::{EndedWorker, WorkerEndReason};
+use crate::lost_runs::{EndedWorker, WorkerEndReason};
 use crate::preempt::Preemption;
 use crate::questions::Question;
 use crate::quota::Quota;
@@ -87,26 +87,26 @@
 }
 
 /// Renewals of idle workers in a second, all together: a small part of a leader's processor.
-const IDLE_RENEWALS_A_SECOND: f64 = 500.0;
+const IDLE_RENEWALS_PER_SECOND: f64 = 500.0;
 /// Renewals of busy workers in a second, all together, besides those that an end brings about.
-const BUSY_RENEWALS_A_SECOND: f64 = 500.0;
+const BUSY_RENEWALS_PER_SECOND: f64 = 500.0;
 /// Longest time between two renewals of a busy worker: a lease of 7 s then outlasts a cut of 5 s, and no worker keeps an answer
 /// waiting for longer.
-const LONGEST_BUSY_PAUSE: Duration = Duration::from_secs(2);
+const MAX_BUSY_PAUSE: Duration = Duration::from_secs(2);
 /// Time between two renewals of a busy worker on small fleets: a cut of 5.5 s must leave a lease of 6 s alive. The bounds of silence
 /// and standstill reckon with it.
 pub const RENEWAL_INTERVAL: Duration = Duration::from_millis(400);
 /// Attempts of one task in one reign; a term's attempts are all above those of the terms before.
-const ATTEMPTS_A_TERM: u64 = 1000;
+const ATTEMPTS_PER_TERM: u64 = 1000;
 
 /// The leader's book and decisions.
 pub struct Engine {
     pub(crate) limits: Limits,
     pub(crate) term: Term,
     /// When this reign began, on the steady clock.
-    pub(crate) reign: Duration,
+    pub(crate) term_start: Duration,
     /// How long after the reign began the leader before may still have given leases.
-    pub(crate) predecessor: Duration,
+    pub(crate) predecessor_active: Duration,
     pub(crate) config: Arc<Config>,
     /// Whether it came since the last pass: attempts may have been used up before it was known.
     pub(crate) reconfigured: bool,
@@ -130,7 +130,7 @@
     /// Hosts that are free to ask the adviser a long question.
     pub(crate) askers: usize,
     /// Room that could be made for gangs, by their priority.
-    pub(crate) patience: HashMap<u32, Patience>,
+    pub(crate) reclaimable: HashMap<u32, Reclaimable>,
     /// Limits of workspaces, and what is used of them.
     pub(crate) quota: Quota,
     /// The room of the last pass, which the next one brings up to date.
@@ -143,7 +143,7 @@
     /// Workers whose end isn't logged yet.
     pub(crate) ended_workers: Vec<EndedWorker>,
     /// Starts whose records aren't durable yet, by position.
-    pub(crate) decided: VecDeque<(u64, WorkerId, Start)>,
+    pub(crate) unsent_starts: VecDeque<(u64, WorkerId, Start)>,
     /// Records that the log hasn't taken yet, by position.
     pub(crate) records: VecDeque<(u64, Record)>,
     /// Position of the newest record; positions count from 1 in each reign.
@@ -162,8 +162,8 @@
         Engine {
             limits,
             term,
-            reign: now,
-            predecessor: AUTHORITY_TIMEOUT,
+            term_start: now,
+            predecessor_active: AUTHORITY_TIMEOUT,
             reconfigured: false,
             queues: by_name(&config),
             most_urgent: most_urgent(&config),
@@ -177,14 +177,14 @@
             shares: Shares::default(),
             start_latency: Latency::default(),
             askers: 1,
-            patience: HashMap::new(),
+            reclaimable: HashMap::new(),
             quota,
             room: Room::default(),
             actions: Vec::new(),
             preemptions: Vec::new(),
             idle_since: BTreeMap::new(),
             ended_workers: Vec::new(),
-            decided: VecDeque::new(),
+            unsent_starts: VecDeque::new(),
             records: VecDeque::new(),
             position: 0,
             durable: 0,
@@ -194,12 +194,12 @@
 
     /// Nothing is known of the leader before: it may be of a version that gives longer leases.
     pub fn predecessor_unknown(&mut self) {
-        self.predecessor = AUTHORITY_TIMEOUT + self.limits.longer_before();
+        self.predecessor_active = AUTHORITY_TIMEOUT + self.limits.longer_before();
     }
 
     /// The leader before gives no leases any more, as is known since `now`.
     pub fn predecessor_ended(&mut self, now: Duration) {
-        self.predecessor = self.predecessor.min(now.saturating_sub(self.reign));
+        self.predecessor_active = self.predecessor_active.min(now.saturating_sub(self.term_start));
     }
 
     /// Takes a newer configuration.
@@ -216,13 +216,13 @@
     /// How long the renewals of a worker on which nothing runs may be apart: there is no lease to prolong, and all of them
     /// together must not take the leader's time.
     pub fn idle_pause(&self) -> Duration {
-        Duration::from_secs_f64(self.workers.len() as f64 / IDLE_RENEWALS_A_SECOND)
+        Duration::from_secs_f64(self.workers.len() as f64 / IDLE_RENEWALS_PER_SECOND)
     }
 
     /// How long the renewals of a worker on which something runs may be apart, at least as long as usual.
     pub fn busy_pause(&self) -> Duration {
         let busy = self.workers.values().filter(|worker| !worker.runs.is_empty()).count();
-        Duration::from_secs_f64(busy as f64 / BUSY_RENEWALS_A_SECOND).clamp(RENEWAL_INTERVAL, LONGEST_BUSY_PAUSE)
+        Duration::from_secs_f64(busy as f64 / BUSY_RENEWALS_PER_SECOND).clamp(RENEWAL_INTERVAL, MAX_BUSY_PAUSE)
     }
 
     /// How far apart renewals are, beyond what the bounds of silence and standstill reckon with.
@@ -277,7 +277,7 @@
     /// Puts a job into the book, without a record.
     pub(crate) fn insert(&mut self, id: JobId, owner: Owner, job: Arc<Job>, accepted: Accepted) {
         let units = BTreeMap::new();
-        let workspace = owner.workspace.map(|name| self.quota.number(&name));
+        let workspace = owner.workspace.map(|name| self.quota.index(&name));
         let queue = owner.queue;
         let entry = Entry { queue, workspace, job, accepted, begun: Begun::No, outcome: None, units, opened: 0 };
         self.jobs.insert(id, entry);
@@ -329,7 +329,7 @@
         let position = self.record(Record::Ended { id, outcome, workspace });
         if let Some(entry) = self.jobs.get_mut(&id) {
             entry.outcome = Some(Ended { outcome, position, at: clock.now });
-            entry.forget_work();
+            entry.release_memory();
         }
         self.live.remove(&id);
         position
@@ -349,28 +349,28 @@
 
     /// The next attempt number of a task or, with `starts` of its gang, of a gang.
     pub(crate) fn attempt(&self, starts: u64) -> Attempt {
-        (self.term - 1) * ATTEMPTS_A_TERM + starts + 1
+        (self.term - 1) * ATTEMPTS_PER_TERM + starts + 1
     }
 
     /// A worker's leases have surely run out.
     pub fn leases_expired(&mut self, clock: Clock, id: &str) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         worker.contact = Contact::Lapsed;
-        if worker.missing.is_some() {
-            return self.gone(clock, id, WorkerEndReason::Unlisted);
+        if worker.unlisted_since.is_some() {
+            return self.end_worker(clock, id, WorkerEndReason::Unlisted);
         }
         // It may turn out to have ended then.
-        let heard = worker.heard;
-        let lost = self.losses(id, heard);
-        self.doubt(&lost);
+        let last_heard = worker.last_heard;
+        let lost = self.losses(id, last_heard);
+        self.add_silent(&lost);
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.left.extend(lost);
+            worker.possibly_lost.extend(lost);
         }
-        self.vacate(clock, id);
+        self.free_all_runs(clock, id);
     }
 
     /// Frees the tasks of all runs on a worker.
-    pub(crate) fn vacate(&mut self, clock: Clock, id: &str) {
+    pub(crate) fn free_all_runs(&mut self, clock: Clock, id: &str) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         let runs = std::mem::take(&mut worker.runs);
         worker.recount();
@@ -385,7 +385,7 @@
         let index = task.index as usize;
         let held = unit.tasks.get(index).is_some_and(|state| state.phase == Phase::Held(worker.to_owned(), attempt));
         if held {
-            unit.set(index, Phase::Pending);
+            unit.set_phase(index, Phase::Pending);
         }
     }
 
--- a/components/sched/src/entry.rs
+++ b/components/sched/src/entry.rs
@@ -7,10 +7,10 @@
 
 use work::{Attempt, Job, Outcome, QueueName, Step, Task, Unit, WorkerId};
 
-use crate::advice::Known;
-use crate::blame::Crash;
+use crate::advice::UnitAdvice;
+use crate::crashes::Crash;
 use crate::preempt::Claim;
-use crate::quota::Number;
+use crate::quota::WorkspaceIndex;
 
 /// Where a task stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -35,7 +35,7 @@
     pub saved: String,
     /// Workers that ended under it.
     pub crashes: Vec<Crash>,
-    /// Silent workers that may have ended under it; see [`crate::blame`].
+    /// Silent workers that may have ended under it; see [`crate::crashes`].
     pub silent: usize,
     /// Where an earlier leader placed it last: it may run there until the opposite is known.
     pub inherited: Option<Inherited>,
@@ -74,13 +74,13 @@
     /// A gang's last checkpoint.
     pub saved: String,
     /// Who may run it.
-    pub known: Known,
+    pub advice: UnitAdvice,
     /// Room that is being made for it.
     pub claims: Vec<Claim>,
     /// While many units wait, places for it aren't looked for before this time.
-    pub look_at: Duration,
+    pub retry_at: Duration,
     /// Until when places for suspects are looked for apart from others; `None` without suspects.
-    pub apart_until: Option<Duration>,
+    pub isolated_until: Option<Duration>,
     /// Room for all of a gang isn't put together before this time; see [`crate::assemble`].
     pub assemble_at: Duration,
 }
@@ -105,16 +105,16 @@
             failed: Vec::new(),
             starts: 0,
             saved: String::new(),
-            known: Known::default(),
+            advice: UnitAdvice::default(),
             claims: Vec::new(),
-            look_at: Duration::ZERO,
-            apart_until: None,
+            retry_at: Duration::ZERO,
+            isolated_until: None,
             assemble_at: Duration::ZERO,
         }
     }
 
     /// Whether all its tasks are done.
-    pub(crate) fn complete(&self) -> bool {
+    pub(crate) fn is_complete(&self) -> bool {
         self.done == self.tasks.len()
     }
 
@@ -141,10 +141,10 @@
     }
 
     /// Moves a task to another phase, keeping the counts.
-    pub(crate) fn set(&mut self, index: usize, phase: Phase) {
+    pub(crate) fn set_phase(&mut self, index: usize, phase: Phase) {
         let Some(task) = self.tasks.get_mut(index) else { return };
         task.inherited = None;
-        self.look_at = Duration::ZERO;
+        self.retry_at = Duration::ZERO;
         let was = std::mem::replace(&mut task.phase, phase);
         match was {
             Phase::Pending => self.pending -= 1,
@@ -164,7 +164,7 @@
 pub(crate) struct Entry {
     pub queue: QueueName,
     /// Whose it is; none where its queue was public.
-    pub workspace: Option<Number>,
+    pub workspace: Option<WorkspaceIndex>,
     pub job: Arc<Job>,
     /// When it was accepted, on this process's steady clock; earlier leaders' jobs may lie before its start.
     pub accepted: Accepted,
@@ -223,17 +223,17 @@
     /// Whether all steps that `step` waits for are done in `round`.
     pub(crate) fn unblocked(&self, round: u32, step: u16) -> bool {
         let Some(described) = self.step(step) else { return false };
-        described.after.iter().all(|on| self.units.get(&(round, *on)).is_some_and(UnitState::complete))
+        described.after.iter().all(|on| self.units.get(&(round, *on)).is_some_and(UnitState::is_complete))
     }
 
     /// Gives back the memory of what only a job that goes on needs: most jobs in the book have ended.
-    pub(crate) fn forget_work(&mut self) {
+    pub(crate) fn release_memory(&mut self) {
         Arc::make_mut(&mut self.job).specification = String::new();
-        self.units.values_mut().for_each(|unit| unit.known = Known::default());
+        self.units.values_mut().for_each(|unit| unit.advice = UnitAdvice::default());
     }
 
     /// Whether every task of every round is done. Lasting tasks never are.
-    pub(crate) fn complete(&self) -> bool {
-        self.opened == self.job.rounds() && self.units.values().all(UnitState::complete)
+    pub(crate) fn is_complete(&self) -> bool {
+        self.opened == self.job.rounds() && self.units.values().all(UnitState::is_complete)
     }
 }
--- a/components/sched/src/explain.rs
+++ b/components/sched/src/explain.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use work::{JobId, State, Unit};
 
-use crate::blame::Crash;
+use crate::crashes::Crash;
 use crate::engine::{Clock, Engine};
 use crate::entry::{Entry, Phase, TaskState, UnitState};
 
@@ -84,12 +84,12 @@
                 .enumerate()
                 .filter_map(|(index, task)| ended_workers(index, task))
                 .collect(),
-            why: if unit.pending == 0 { String::new() } else { self.reason(clock, entry, name, unit) },
+            why: if unit.pending == 0 { String::new() } else { self.wait_reason(clock, entry, name, unit) },
         }
     }
 
     /// Why the waiting tasks of a step wait: the first thing that keeps them from a start.
-    pub(crate) fn reason(&self, clock: Clock, entry: &Entry, name: Unit, unit: &UnitState) -> String {
+    pub(crate) fn wait_reason(&self, clock: Clock, entry: &Entry, name: Unit, unit: &UnitState) -> String {
         if entry.outcome.is_some() {
             return "the job has ended".to_owned();
         }
@@ -102,32 +102,32 @@
         if let Some(worker) = self.unresolved(unit) {
             return format!("a task may still run on {worker}, which hasn't answered since the last takeover");
         }
-        if unit.awaits_ends() {
+        if unit.awaits_worker_ends() {
             return "a task has been on too many workers that have ended or are silent: what became of these is awaited".to_owned();
         }
         let Some(queue) = self.queues.get(&entry.queue) else {
             return format!("the configuration (version {}) has no queue {}", self.config.version, entry.queue);
         };
         let Some(step) = entry.step(name.step) else { return String::new() };
-        if let Some(why) = self.waits_for_quota(entry, step, unit.pending) {
+        if let Some(why) = self.quota_wait_reason(entry, step, unit.pending) {
             return why;
         }
         let room = self.room(clock);
         let suits = room.places.iter().filter(|place| place.suits(queue, step));
-        let reached = self.reached(clock);
-        let (mut workers, mut fitting, mut told) = (0, 0, 0);
+        let start_arrival = self.start_arrival(clock);
+        let (mut workers, mut fitting, mut with_ticket) = (0, 0, 0);
         for place in suits {
             workers += 1;
             let slots = place.tasks(unit, step);
             fitting += slots;
-            if queue.advice.is_none() || unit.known.allows(&place.id, reached) {
-                told += slots;
+            if queue.advice.is_none() || unit.advice.allows(&place.id, start_arrival) {
+                with_ticket += slots;
             }
         }
-        let asking = if !unit.known.asking.is_empty() { "; the adviser is being asked" } else { "" };
+        let asking = if !unit.advice.asking.is_empty() { "; the adviser is being asked" } else { "" };
         let gang = if step.gang { ", all at once" } else { "" };
         format!(
-            "{} tasks need places{gang}: {workers} suitable workers have room for {fitting}, those with a ticket for {told}{asking}",
+            "{} tasks need places{gang}: {workers} suitable workers have room for {fitting}, those with a ticket for {with_ticket}{asking}",
             unit.pending
         )
     }
--- a/components/sched/src/handover.rs
+++ b/components/sched/src/handover.rs
@@ -21,16 +21,16 @@
 
 impl Engine {
     /// Runs whose orders may still be on their way to a worker.
-    pub(crate) fn unsettled(&self, id: &str) -> Vec<Unsettled> {
+    pub(crate) fn unsettled_runs(&self, id: &str) -> Vec<Unsettled> {
         let Some(worker) = self.workers.get(id) else { return Vec::new() };
         let unlisted = worker.runs.iter().filter(|(_, run)| !run.listed);
-        let unsettled = |((task, attempt), run): (&(Task, Attempt), &Run)| Unsettled {
+        let unsettled_runs = |((task, attempt), run): (&(Task, Attempt), &Run)| Unsettled {
             task: *task,
             attempt: *attempt,
             run: run.clone(),
             held: self.holds(*task, id, *attempt),
         };
-        unlisted.filter(|((task, attempt), _)| !self.is_unsent(id, *task, *attempt)).map(unsettled).collect()
+        unlisted.filter(|((task, attempt), _)| !self.is_unsent(id, *task, *attempt)).map(unsettled_runs).collect()
     }
 
     /// Whether a start was decided and not given out yet.
@@ -38,7 +38,7 @@
         let same = |(_, to, start): &(u64, WorkerId, crate::engine::Start)| {
             to == id && start.task == task && start.attempt == attempt
         };
-        self.decided.iter().any(same)
+        self.unsent_starts.iter().any(same)
     }
 
     /// Whether a task's run is this one.
@@ -48,25 +48,25 @@
     }
 
     /// Hands over to the next life what it may carry out of the orders for a former one.
-    pub(crate) fn hand_over(&mut self, id: &str, next: &str, unsettled: Vec<Unsettled>) {
-        for Unsettled { task, attempt, run, held } in unsettled {
+    pub(crate) fn hand_over(&mut self, id: &str, next: &str, unsettled_runs: Vec<Unsettled>) {
+        for Unsettled { task, attempt, run, held } in unsettled_runs {
             let Some(worker) = self.workers.get_mut(next) else { return };
-            worker.take(task, attempt, Run { phase: Phase::Stopping, ..run });
+            worker.add_run(task, attempt, Run { phase: Phase::Stopping, ..run });
             if held {
-                self.place(task, next, attempt);
+                self.set_placed(task, next, attempt);
             }
         }
         if let Some(worker) = self.workers.get_mut(next) {
-            worker.follows = true;
+            worker.follows_earlier_life = true;
         }
         self.stop_handed_over(next);
-        self.hand_inherited_over(id, next);
+        self.hand_over_inherited(id, next);
     }
 
     /// Whether a worker's life follows another under its name. A lease that was meant for that one may have been given there, by the next
     /// life's clock: as long as workers take any.
     pub fn follows_earlier_life(&self, id: &str) -> bool {
-        self.workers.get(id).is_some_and(|worker| worker.follows)
+        self.workers.get(id).is_some_and(|worker| worker.follows_earlier_life)
     }
 
     /// Stops at a worker what was handed over to it, once it has answered: before that no order can be given.
@@ -83,16 +83,16 @@
         let longest = self.limits.longest_lease();
         let over = |worker: &Worker| {
             let silent = worker.contact == Contact::Unknown && !worker.runs.is_empty();
-            silent && clock.now.saturating_sub(worker.heard) > longest
+            silent && clock.now.saturating_sub(worker.last_heard) > longest
         };
         let ids: Vec<WorkerId> =
             self.workers.iter().filter(|(_, worker)| over(worker)).map(|(id, _)| id.clone()).collect();
-        ids.iter().for_each(|id| self.vacate(clock, id));
+        ids.iter().for_each(|id| self.free_all_runs(clock, id));
     }
 
     /// Hands over what an earlier leader ordered: its orders are refused once the next life has answered under this term. Nothing once all of
     /// them have surely ended.
-    fn hand_inherited_over(&mut self, id: &str, next: &str) {
+    fn hand_over_inherited(&mut self, id: &str, next: &str) {
         let inherited = if self.settled { Vec::new() } else { self.inherited_runs() };
         for (task, entry::Inherited { attempt, .. }) in inherited.into_iter().filter(|(_, run)| run.worker == id) {
             if let Some(state) = self.task_mut(task) {
@@ -104,9 +104,9 @@
     }
 
     /// A task's run is, or may be, on this worker.
-    fn place(&mut self, task: Task, id: &str, attempt: Attempt) {
+    fn set_placed(&mut self, task: Task, id: &str, attempt: Attempt) {
         if let Some(unit) = self.unit_mut(task.unit) {
-            unit.set(task.index as usize, entry::Phase::Held(id.to_owned(), attempt));
+            unit.set_phase(task.index as usize, entry::Phase::Held(id.to_owned(), attempt));
         }
         self.record(Record::Placed { task, attempt, worker: id.to_owned() });
     }
@@ -114,7 +114,7 @@
     /// The platform tells when a worker was born that was known without: it is the same life as far as is known, and goes by its id from
     /// now on.
     pub(crate) fn rename(&mut self, clock: Clock, id: &str, born: &str) {
-        let unsettled = self.unsettled(id);
+        let unsettled_runs = self.unsettled_runs(id);
         let Some(worker) = self.workers.get(id) else { return };
         let listed: Vec<(Task, Attempt, Run)> = worker
             .runs
@@ -123,19 +123,19 @@
             .map(|((task, attempt), run)| (*task, *attempt, run.clone()))
             .filter(|(task, attempt, _)| self.holds(*task, id, *attempt))
             .collect();
-        let (info, left) = (worker.info.clone(), worker.left.clone());
+        let (info, left) = (worker.info.clone(), worker.possibly_lost.clone());
         self.record_worker(clock, born.to_owned(), (*info).clone());
-        self.vacate(clock, id);
+        self.free_all_runs(clock, id);
         self.workers.remove(id);
         for (task, attempt, run) in listed {
             if let Some(worker) = self.workers.get_mut(born) {
-                worker.take(task, attempt, run);
+                worker.add_run(task, attempt, run);
             }
-            self.place(task, born, attempt);
+            self.set_placed(task, born, attempt);
         }
-        self.hand_over(id, born, unsettled);
+        self.hand_over(id, born, unsettled_runs);
         if let Some(worker) = self.workers.get_mut(born) {
-            worker.left = left;
+            worker.possibly_lost = left;
         }
         self.departed.insert(id.to_owned());
         self.record(Record::Gone { id: id.to_owned() });
--- a/components/sched/src/headroom.rs
+++ b/components/sched/src/headroom.rs
@@ -7,21 +7,21 @@
 
 use work::{Queue, Step, Unit};
 
-use crate::ends::taken_room;
 use crate::engine::{Clock, Engine};
+use crate::reports::taken_room;
 use crate::room::Room;
 
 /// Share of all cores that a unit with time to spare leaves free, where more urgent queues use the same workers: on a full cell both kinds
 /// come off better.
 const HEADROOM: f64 = 0.08;
 /// A unit that must start within this time leaves nothing free.
-const SPARE: Duration = Duration::from_secs(2);
+const MIN_SLACK: Duration = Duration::from_secs(2);
 
 impl Engine {
     /// How many tasks of a unit may start now without taking what is left for more urgent queues.
-    pub(crate) fn left_for(&self, clock: Clock, unit: Unit, step: &Step, queue: &Queue, room: &Room) -> usize {
+    pub(crate) fn headroom_limit(&self, clock: Clock, unit: Unit, step: &Step, queue: &Queue, room: &Room) -> usize {
         let most_urgent = self.most_urgent.get(&queue.pool).is_none_or(|priority| *priority >= queue.priority);
-        if step.gang || most_urgent || !self.spares_processor() || !self.can_wait(clock, unit, SPARE) {
+        if step.gang || most_urgent || !self.has_spare_processor() || !self.can_wait(clock, unit, MIN_SLACK) {
             return usize::MAX;
         }
         let cores = room.cores(&queue.pool);
--- a/components/sched/src/lease.rs
+++ b/components/sched/src/lease.rs
@@ -5,7 +5,7 @@
 use crate::limits::LAPSE_MARGIN;
 
 /// A worker's clock may run this much slow.
-const SLOWEST: f64 = 0.98;
+const MIN_CLOCK_RATE: f64 = 0.98;
 
 /// What is known of a worker's clock and of the leases that were given there.
 #[derive(Clone, Copy, Debug, Default)]
@@ -42,7 +42,7 @@
     /// Whether every lease has surely run out.
     pub fn is_expired(&self, now: Duration) -> bool {
         let Some((clock, at)) = self.reading else { return false };
-        let least = clock + now.saturating_sub(at + LAPSE_MARGIN).mul_f64(SLOWEST);
+        let least = clock + now.saturating_sub(at + LAPSE_MARGIN).mul_f64(MIN_CLOCK_RATE);
         least > self.until
     }
 }
--- a/components/sched/src/limits.rs
+++ b/components/sched/src/limits.rs
@@ -33,7 +33,7 @@
 pub(crate) const TICKET_MARGIN: Duration = Duration::from_millis(60);
 /// When a start is decided, the ticket must hold as much longer as starts have taken from there to their answers, but no more than
 /// this: a quarter of what tickets usually hold.
-pub(crate) const MOST_TICKET_MARGIN: Duration = Duration::from_millis(500);
+pub(crate) const MAX_TICKET_MARGIN: Duration = Duration::from_millis(500);
 
 impl Limits {
     /// Bounds for tests.
--- a/components/sched/src/loss.rs
+++ b/components/sched/src/lost_runs.rs
@@ -114,7 +114,7 @@
 
 impl Engine {
     /// What goes with a worker that was last heard at this time: its runs, but for starts that weren't sent.
-    pub(crate) fn losses(&self, id: &str, heard: Duration) -> Vec<LostRun> {
+    pub(crate) fn losses(&self, id: &str, last_heard: Duration) -> Vec<LostRun> {
         let Some(worker) = self.workers.get(id) else { return Vec::new() };
         let sent: Vec<(Task, Attempt, &Run)> = worker
             .runs
@@ -125,7 +125,7 @@
         let new: BTreeSet<JobId> =
             sent.iter().filter(|(.., run)| !run.seen_running).map(|(task, ..)| task.unit.job).collect();
         let lost = |(task, attempt, run): &(Task, Attempt, &Run)| LostRun {
-            age: heard.saturating_sub(run.decided),
+            age: last_heard.saturating_sub(run.decided_at),
             seen_running: run.seen_running,
             begun: run.begun.is_some(),
             confirmed: matches!(run.phase, Phase::Running(_)),
--- a/components/sched/src/order.rs
+++ b/components/sched/src/order.rs
@@ -79,7 +79,7 @@
         {
             run.phase = Phase::Running(mark);
             run.begun.get_or_insert(clock.now);
-            let decided = run.moved;
+            let decided = run.progressed_at;
             self.start_latency.observe(clock.now.saturating_sub(decided));
         }
     }
@@ -114,7 +114,7 @@
     /// A run is certainly not there any more.
     pub(crate) fn release(&mut self, clock: Clock, id: &str, task: Task, attempt: Attempt) {
         let Some(worker) = self.workers.get_mut(id) else { return };
-        worker.release(task, attempt);
+        worker.remove_run(task, attempt);
         self.free_task(clock, task, id, attempt);
     }
 }
--- a/components/sched/src/place.rs
+++ b/components/sched/src/place.rs
@@ -4,38 +4,38 @@
 
 use work::{Attempt, Queue, Record, Step, Task, Unit, WorkerId};
 
-use crate::ends::taken_room;
 use crate::engine::{Action, Clock, Engine, Start};
 use crate::entry::{Phase, UnitState};
-use crate::limits::{MOST_TICKET_MARGIN, TICKET_MARGIN};
-use crate::loss::WorkerEndReason;
+use crate::limits::{MAX_TICKET_MARGIN, TICKET_MARGIN};
+use crate::lost_runs::WorkerEndReason;
 use crate::questions::{Inquiry, Question};
 use crate::quota::may_run_unseen;
 use crate::rank::Candidate;
+use crate::reports::taken_room;
 use crate::room::{Choice, Room};
 use crate::worker::{self, Contact, Pauses, Run, Worker};
 
 /// Whether a question would help a unit is looked at again after this time: about as often as room changes.
-const ASK_AGAIN: Duration = Duration::from_millis(50);
+const ASK_INTERVAL: Duration = Duration::from_millis(50);
 /// Up to so many waiting units are looked at in each pass.
-const FEW: usize = 16;
+const MAX_UNITS_PER_PASS: usize = 16;
 /// Where more wait, a unit for which there was no place is looked at again after this time, unless it learns of workers: looks at all
 /// workers for all units in each pass would take the leader's time.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 /// Rounds of one job that are taken up in one pass.
-const OPEN_ROUNDS: u32 = 16;
+const MAX_ROUNDS_PER_PASS: u32 = 16;
 /// Units of one job that may be open before further rounds are taken up.
-const OPEN_UNITS: usize = 256;
+const MAX_OPEN_UNITS: usize = 256;
 
 impl Engine {
     /// Starts what can be started, asks what must be known, stops what is left of broken gangs.
     pub fn plan(&mut self, clock: Clock) {
         if std::mem::take(&mut self.reconfigured) {
-            self.fail_spent(clock);
+            self.fail_exhausted(clock);
         }
-        self.settle(clock);
+        self.update_settled(clock);
         self.free_handed_over(clock);
-        self.open_units(clock);
+        self.open_due_rounds(clock);
         self.stop_broken_gangs();
         let candidates = self.candidates(clock);
         if candidates.is_empty() {
@@ -44,46 +44,48 @@
         self.recount_quota();
         let mut room = self.fresh_room(clock);
         candidates.iter().for_each(|candidate| self.keep_claims(clock, candidate.unit, &mut room));
-        if self.spares_processor() {
+        if self.has_spare_processor() {
             room.count_cores();
         }
-        let many = candidates.len() > FEW;
+        let many = candidates.len() > MAX_UNITS_PER_PASS;
         for candidate in candidates {
-            if many && self.rests(clock, candidate.unit) {
+            if many && self.is_deferred(clock, candidate.unit) {
                 continue;
             }
-            self.serve(clock, &candidate, &mut room);
+            self.schedule_unit(clock, &candidate, &mut room);
         }
         self.room = room;
     }
 
-    fn settle(&mut self, clock: Clock) {
+    fn update_settled(&mut self, clock: Clock) {
         if self.settled {
             return self.drop_unseen(clock);
         }
-        let waits = self.predecessor + self.limits.surely_lapsed();
-        self.settled = clock.now.saturating_sub(self.reign) > waits;
+        let waits = self.predecessor_active + self.limits.surely_lapsed();
+        self.settled = clock.now.saturating_sub(self.term_start) > waits;
     }
 
     /// Workers that have never answered and that nobody lists any more, and whose leases have run out: those of earlier reigns have, by now.
     fn drop_unseen(&mut self, clock: Clock) {
         let longest = self.limits.longest_lease();
-        let over = |worker: &Worker| !worker.follows || clock.now.saturating_sub(worker.heard) > longest;
-        let unseen = |worker: &Worker| worker.contact == Contact::Unknown && worker.missing.is_some() && over(worker);
+        let over =
+            |worker: &Worker| !worker.follows_earlier_life || clock.now.saturating_sub(worker.last_heard) > longest;
+        let unseen =
+            |worker: &Worker| worker.contact == Contact::Unknown && worker.unlisted_since.is_some() && over(worker);
         let ids: Vec<WorkerId> =
             self.workers.iter().filter(|(_, worker)| unseen(worker)).map(|(id, _)| id.clone()).collect();
-        ids.iter().for_each(|id| self.gone(clock, id, WorkerEndReason::Unseen));
+        ids.iter().for_each(|id| self.end_worker(clock, id, WorkerEndReason::Unseen));
     }
 
-    fn open_units(&mut self, clock: Clock) {
+    fn open_due_rounds(&mut self, clock: Clock) {
         let ids: Vec<_> = self.live.iter().copied().collect();
         for id in ids {
             let Some(entry) = self.jobs.get_mut(&id) else { continue };
             // Rounds that fell due while nobody led are taken up a few at a time.
-            let unfinished = entry.units.values().filter(|unit| !unit.complete()).count();
-            let most = entry.opened.saturating_add(OPEN_ROUNDS);
+            let unfinished = entry.units.values().filter(|unit| !unit.is_complete()).count();
+            let most = entry.opened.saturating_add(MAX_ROUNDS_PER_PASS);
             while entry.opened < entry.job.rounds() && entry.job.due(entry.opened) <= clock.wall {
-                if entry.opened >= most || unfinished >= OPEN_UNITS {
+                if entry.opened >= most || unfinished >= MAX_OPEN_UNITS {
                     break;
                 }
                 entry.open(entry.opened);
@@ -115,21 +117,21 @@
 
     /// By when a start that is decided now reaches its worker. A busy leader takes long over its record and the order: a ticket that has
     /// run out by then breaks a gang.
-    pub(crate) fn reached(&self, clock: Clock) -> Duration {
-        let usual = self.start_latency.timeout(TICKET_MARGIN, MOST_TICKET_MARGIN);
+    pub(crate) fn start_arrival(&self, clock: Clock) -> Duration {
+        let usual = self.start_latency.timeout(TICKET_MARGIN, MAX_TICKET_MARGIN);
         clock.now + if self.start_latency.smoothed().is_some() { usual } else { TICKET_MARGIN }
     }
 
     /// Whether a unit that found no place lately is passed over. Not one for which room is kept.
-    fn rests(&self, clock: Clock, unit: Unit) -> bool {
-        self.unit(unit).is_some_and(|state| clock.now < state.look_at && state.claims.is_empty())
+    fn is_deferred(&self, clock: Clock, unit: Unit) -> bool {
+        self.unit(unit).is_some_and(|state| clock.now < state.retry_at && state.claims.is_empty())
     }
 
     /// Starts what can be started of a unit, and asks about the rest.
-    fn serve(&mut self, clock: Clock, candidate: &Candidate, room: &mut Room) {
+    fn schedule_unit(&mut self, clock: Clock, candidate: &Candidate, room: &mut Room) {
         let unit = candidate.unit;
         if let Some(state) = self.unit_mut(unit) {
-            state.look_apart(clock.now);
+            state.update_isolation(clock.now);
         }
         let Some(entry) = self.jobs.get(&unit.job) else { return };
         let job = entry.job.clone();
@@ -138,7 +140,7 @@
         let Some(state) = entry.units.get(&(unit.round, unit.step)) else { return };
         let need = taken_room(step);
         room.unclaim(&state.claims, &need);
-        if !self.resolved(state) || state.awaits_ends() {
+        if !self.resolved(state) || state.awaits_worker_ends() {
             return;
         }
         if step.gang && state.pending != state.tasks.len() {
@@ -146,25 +148,25 @@
         }
         let most = self.quota.tasks(entry.workspace, &step.need);
         if most < if step.gang { state.pending } else { 1 } {
-            return self.wait_for_quota(unit, step);
+            return self.reserve_gang_quota(unit, step);
         }
         // A job that isn't kept yet is placed all the same: its starts are sent after its own record is written.
         let kept = entry.accepted.position <= self.durable;
         // Nor is it asked about meanwhile: its tickets would run out.
-        let left = self.left_for(clock, unit, step, &queue, room);
+        let left = self.headroom_limit(clock, unit, step, &queue, room);
         if left == 0 {
-            return self.rest(clock, unit);
+            return self.defer(clock, unit);
         }
-        let reached = self.reached(clock);
-        let mut choices = room.choose(clock.now, reached, state, step, &queue);
+        let start_arrival = self.start_arrival(clock);
+        let mut choices = room.choose(clock.now, start_arrival, state, step, &queue);
         choices.truncate(most.min(left));
         if choices.is_empty() {
-            self.rest(clock, unit);
+            self.defer(clock, unit);
         } else {
             self.start(clock, unit, step, choices, room);
         }
         // Until then it asks once: the store may be away for long.
-        if kept || self.unit(unit).is_some_and(|state| state.known.is_new()) {
+        if kept || self.unit(unit).is_some_and(|state| state.advice.is_new()) {
             self.ask(clock, unit, &queue, room);
         }
         if kept && candidate.on_time() {
@@ -174,12 +176,12 @@
             self.assemble(clock, unit, step, &queue, room);
         }
         self.keep_claims(clock, unit, room);
-        self.keep_quota(unit);
+        self.reserve_claimed_quota(unit);
     }
 
     /// Keeps what a gang needs of its workspace's limit while room is put together for it: else it would be stopped short by the limit
     /// once there is room.
-    fn keep_quota(&mut self, unit: Unit) {
+    fn reserve_claimed_quota(&mut self, unit: Unit) {
         let Some(entry) = self.jobs.get(&unit.job) else { return };
         let Some(step) = entry.step(unit.step).filter(|step| step.gang) else { return };
         let Some(state) = entry.units.get(&(unit.round, unit.step)).filter(|state| !state.claims.is_empty()) else {
@@ -190,7 +192,7 @@
 
     /// A unit waits for its workspace's limit. What a gang needs of it is kept from less urgent units of the same workspace, whose
     /// small tasks would else use up whatever comes free.
-    fn wait_for_quota(&mut self, unit: Unit, step: &Step) {
+    fn reserve_gang_quota(&mut self, unit: Unit, step: &Step) {
         if step.gang {
             let workspace = self.jobs.get(&unit.job).and_then(|entry| entry.workspace);
             self.quota.take(workspace, &step.need, step.count as usize);
@@ -198,9 +200,9 @@
     }
 
     /// There was no place for a unit.
-    fn rest(&mut self, clock: Clock, unit: Unit) {
+    fn defer(&mut self, clock: Clock, unit: Unit) {
         if let Some(state) = self.unit_mut(unit) {
-            state.look_at = clock.now + LOOK_AGAIN;
+            state.retry_at = clock.now + RETRY_INTERVAL;
         }
     }
 
@@ -217,26 +219,26 @@
     fn ask(&mut self, clock: Clock, unit: Unit, queue: &Queue, room: &Room) {
         let Some(advice) = queue.advice else { return };
         let Some(state) = self.unit(unit) else { return };
-        if state.pending == 0 || clock.now < state.known.ask_at {
+        if state.pending == 0 || clock.now < state.advice.ask_at {
             return;
         }
         // Then places are found where others can be stopped, too.
         let step = self.jobs.get(&unit.job).and_then(|entry| entry.step(unit.step));
         let assembles = step.is_some_and(|step| self.assembles(clock, unit, step));
         if assembles {
-            self.look_for_patience(clock, queue.priority);
+            self.refresh_reclaimable(clock, queue.priority);
         }
         let questions = self.questions(clock, &Inquiry { unit, advice, queue, room, assembles });
         if let Some(state) = self.unit_mut(unit) {
-            state.known.ask_at = clock.now + ASK_AGAIN;
+            state.advice.ask_at = clock.now + ASK_INTERVAL;
         }
-        questions.into_iter().for_each(|question| self.pose(question));
+        questions.into_iter().for_each(|question| self.send_question(question));
     }
 
     /// Has a question asked.
-    fn pose(&mut self, question: Question) {
+    fn send_question(&mut self, question: Question) {
         if let Some(state) = self.unit_mut(question.unit) {
-            state.known.asking.extend(question.workers.iter().cloned());
+            state.advice.asking.extend(question.workers.iter().cloned());
         }
         self.actions.push(Action::Ask(question));
     }
@@ -255,12 +257,12 @@
         }
         room.take(&choices, &need);
         if let Some(state) = self.unit_mut(unit) {
-            state.apart_until = None;
+            state.isolated_until = None;
         }
         for (index, place) in choices {
             let worker = room.places[place].id.clone();
             let task = Task { unit, index: index as u32 };
-            let Some(order) = self.order(task, step, gang_attempt, &worker) else { continue };
+            let Some(order) = self.start_order(task, step, gang_attempt, &worker) else { continue };
             let phase = worker::Phase::Starting;
             let suspect = self.is_suspect(task);
             let now = clock.now;
@@ -270,8 +272,8 @@
                 charge,
                 stoppable,
                 percent: 0,
-                moved: now,
-                decided: now,
+                progressed_at: now,
+                decided_at: now,
                 begun: None,
                 listed: false,
                 seen_running: false,
@@ -281,15 +283,15 @@
                 room.close(place);
             }
             if let Some(held) = self.workers.get_mut(&worker) {
-                held.take(task, order.attempt, run);
+                held.add_run(task, order.attempt, run);
             }
             if let Some(state) = self.unit_mut(unit) {
-                state.set(index, Phase::Held(worker.clone(), order.attempt));
+                state.set_phase(index, Phase::Held(worker.clone(), order.attempt));
                 state.claims.retain(|claim| claim.worker != worker);
             }
             let record = Record::Placed { task, attempt: order.attempt, worker: worker.clone() };
             let position = self.record(record);
-            self.decided.push_back((position, worker, order));
+            self.unsent_starts.push_back((position, worker, order));
         }
     }
 
@@ -309,12 +311,12 @@
 
     /// Sends the starts whose records are durable, unless they have become pointless meanwhile.
     pub(crate) fn send_decided(&mut self, clock: Clock) {
-        while let Some((position, worker, start)) = self.decided.pop_front() {
+        while let Some((position, worker, start)) = self.unsent_starts.pop_front() {
             if position > self.durable {
-                self.decided.push_front((position, worker, start));
+                self.unsent_starts.push_front((position, worker, start));
                 return;
             }
-            if self.still_wanted(clock, &worker, &start) {
+            if self.is_start_allowed(clock, &worker, &start) {
                 self.actions.push(Action::Start(worker, start));
             } else {
                 self.release(clock, &worker, start.task, start.attempt);
@@ -331,20 +333,20 @@
         starting && worker.info.is_open() && !worker.is_overcommitted()
     }
 
-    fn still_wanted(&self, clock: Clock, worker: &str, start: &Start) -> bool {
+    fn is_start_allowed(&self, clock: Clock, worker: &str, start: &Start) -> bool {
         let unit = start.task.unit;
         let starting = self.is_start_wanted(worker, start.task, start.attempt);
         let allowed = start.ticket.is_none()
-            || self.unit(unit).is_some_and(|state| state.known.allows(worker, clock.now + TICKET_MARGIN));
+            || self.unit(unit).is_some_and(|state| state.advice.allows(worker, clock.now + TICKET_MARGIN));
         starting && allowed && self.live.contains(&unit.job)
     }
 
-    fn order(&mut self, task: Task, step: &Step, gang_attempt: Option<u64>, worker: &str) -> Option<Start> {
+    fn start_order(&mut self, task: Task, step: &Step, gang_attempt: Option<u64>, worker: &str) -> Option<Start> {
         let job = self.jobs.get(&task.unit.job)?.job.clone();
         let term_attempt = self.unit(task.unit)?.tasks.get(task.index as usize).map(|state| state.starts)?;
         let attempt = if step.gang { gang_attempt? } else { self.attempt(term_attempt) };
         let state = self.unit_mut(task.unit)?;
-        let ticket = state.known.healthy.get(worker).map(|ticket| ticket.text.clone());
+        let ticket = state.advice.healthy.get(worker).map(|ticket| ticket.text.clone());
         let gang_saved = state.saved.clone();
         let own = state.tasks.get_mut(task.index as usize)?;
         own.starts += 1;
--- a/components/sched/src/preempt.rs
+++ b/components/sched/src/preempt.rs
@@ -8,18 +8,18 @@
 use model::Resources;
 use work::{Attempt, Queue, Step, Task, Unit, WorkerId};
 
-use crate::ends::taken_room;
 use crate::engine::{Clock, Engine};
+use crate::reports::taken_room;
 use crate::room::{Place, Room};
-use crate::worker::{Doubt, Phase, Run, Worker};
+use crate::worker::{Health, Phase, Run, Worker};
 
 /// Room that was made is kept this long: a stop takes up to 0.4 s, and its end is reported at once.
-const KEPT: Duration = Duration::from_millis(1500);
+const CLAIM_TTL: Duration = Duration::from_millis(1500);
 /// An accelerator counts as so many cores in what a stop costs: the users' price.
-const CORES_AN_ACCELERATOR: u64 = 8;
+const CORES_PER_ACCELERATOR: u64 = 8;
 
 /// A task that takes more than this share of a worker in any dimension is large: room for smaller ones comes by itself.
-const LARGE: f64 = 0.5;
+const LARGE_SHARE: f64 = 0.5;
 
 /// Room on a worker that is being made for tasks of a unit.
 #[derive(Clone, Debug)]
@@ -62,11 +62,11 @@
         }
         let need = taken_room(step);
         // What costs least is asked first: most tasks are small everywhere.
-        let places = room.places.iter().filter(|place| need.dominant_share(&place.info.capacity) > LARGE);
-        let places = places.filter(|place| place.doubt == Doubt::None && place.tasks(state, step) == 0);
-        let reached = self.reached(clock);
-        let told = |place: &Place| queue.advice.is_none() || state.known.allows(&place.id, reached);
-        let places = places.filter(|place| place.suits(queue, step) && told(place));
+        let places = room.places.iter().filter(|place| need.dominant_share(&place.info.capacity) > LARGE_SHARE);
+        let places = places.filter(|place| place.health == Health::Good && place.tasks(state, step) == 0);
+        let start_arrival = self.start_arrival(clock);
+        let with_ticket = |place: &Place| queue.advice.is_none() || state.advice.allows(&place.id, start_arrival);
+        let places = places.filter(|place| place.suits(queue, step) && with_ticket(place));
         let places = places.filter(|place| state.claims.iter().all(|claim| claim.worker != place.id));
         let found = places.filter_map(|place| self.victims(&place.id, &need, queue.priority));
         let Some(victims) = found.min_by_key(|victims| victims.weight) else { return };
@@ -75,7 +75,7 @@
         for (task, attempt) in victims.runs {
             self.stop_run(&victims.worker, task, attempt);
         }
-        let claim = Claim { worker: victims.worker, tasks: 1, until: clock.now + KEPT };
+        let claim = Claim { worker: victims.worker, tasks: 1, until: clock.now + CLAIM_TTL };
         if let Some(state) = self.unit_mut(unit) {
             state.claims.push(claim);
         }
@@ -123,5 +123,5 @@
 
 /// What a run of this need costs, in thousandths of a core.
 pub(crate) fn weight(need: &Resources) -> u64 {
-    u64::from(need.cpu_milli) + u64::from(need.accelerators) * CORES_AN_ACCELERATOR * 1000
+    u64::from(need.cpu_milli) + u64::from(need.accelerators) * CORES_PER_ACCELERATOR * 1000
 }
--- a/components/sched/src/questions.rs
+++ b/components/sched/src/questions.rs
@@ -10,8 +10,8 @@
 use model::Resources;
 use work::{Advice, Queue, Unit, WorkerId};
 
-use crate::advice::Known;
-use crate::assemble::LONGEST_STOP;
+use crate::advice::UnitAdvice;
+use crate::assemble::MAX_STOP_TIME;
 use crate::engine::{Clock, Engine};
 use crate::room::{Place, Room};
 
@@ -42,24 +42,24 @@
 }
 
 /// Names are added until the room expected on healthy workers is this many times what the unit needs.
-const SPARE_ROOM: f64 = 2.0;
+const ROOM_FACTOR: f64 = 2.0;
 /// Fewest workers named in a question that isn't only about known ones.
-const FEWEST_NAMED: usize = 6;
+const MIN_NAMED: usize = 6;
 /// As many are named as leave this chance that none of them may run the unit: another question costs a lasting task half a
 /// second of the ten in which it is to be back.
-const NONE_ALLOWED: f64 = 0.02;
+const MAX_CHANCE_OF_NONE: f64 = 0.02;
 /// Most workers that a question may name: a bound of the adviser.
-const MOST_NAMED: usize = 100;
+const MAX_NAMED: usize = 100;
 /// What a worker without room at the moment counts for, in tasks: its room may come back soon.
-const ROOM_LATER: f64 = 0.3;
+const FULL_WORKER_TASKS: f64 = 0.3;
 /// A question isn't split further once naming its workers takes less than this share of what any question takes.
-const LEAST_NAMING: f64 = 0.5;
+const MIN_NAMING_SHARE: f64 = 0.5;
 /// A unit takes at most this share of the hosts that are free to ask, so that others that come at the same time find some, too. Where few
 /// are free it puts one question at a time.
-const SHARE_OF_ASKERS: f64 = 0.125;
+const MAX_ASKER_SHARE: f64 = 0.125;
 /// While answers are outstanding, further questions must be expected to bring this share of what the unit needs: else each
 /// worker on which room comes free is asked about by itself.
-const WORTH_ASKING: f64 = 0.25;
+const MIN_EXPECTED_SHARE: f64 = 0.25;
 
 /// A worker that a question could name.
 #[derive(Clone, Copy)]
@@ -105,8 +105,8 @@
     /// Where room is claimed for a gang, the workers there whose tickets don't hold until the room has come free.
     fn claimed(&self, clock: Clock, unit: Unit) -> Option<Vec<WorkerId>> {
         let state = self.unit(unit).filter(|state| !state.claims.is_empty())?;
-        let until = self.reached(clock) + LONGEST_STOP;
-        let short = |worker: &&WorkerId| !state.known.allows(worker, until) && !state.known.asking.contains(*worker);
+        let until = self.start_arrival(clock) + MAX_STOP_TIME;
+        let short = |worker: &&WorkerId| !state.advice.allows(worker, until) && !state.advice.asking.contains(*worker);
         Some(state.claims.iter().map(|claim| &claim.worker).filter(short).cloned().collect())
     }
 
@@ -119,33 +119,34 @@
         let needed = state.pending as f64;
         let share = self.shares.get(&queue.name);
         let slots = |place: &Place| {
-            let patient = if assembles { self.patient_room(&place.id, queue.priority) } else { Resources::ZERO };
-            place.suits(queue, step).then(|| place.tasks_in(&place.free_after(&patient), state, step))
+            let reclaimable =
+                if assembles { self.reclaimable_room(&place.id, queue.priority) } else { Resources::ZERO };
+            place.suits(queue, step).then(|| place.tasks_in(&place.free_after(&reclaimable), state, step))
         };
-        let idle = state.known.asking.is_empty();
+        let idle = state.advice.asking.is_empty();
         let scarce = most == 1;
         if scarce && !idle {
             return None;
         }
         // A gang's tickets should still hold when the next answers come, where that costs no other unit its turn.
-        let reached = self.reached(clock);
-        let until = if step.gang && !scarce { reached + cost(advice, FEWEST_NAMED) } else { reached };
-        let Supply { held, coming, expired } = supply(&state.known, room, share, until, slots);
+        let start_arrival = self.start_arrival(clock);
+        let until = if step.gang && !scarce { start_arrival + cost(advice, MIN_NAMED) } else { start_arrival };
+        let Supply { held, coming, expired } = supply(&state.advice, room, share, until, slots);
         let there = held + coming;
         if there >= needed {
             return None;
         }
         // Full workers are asked about one question at a time, to learn who may run the unit once room comes.
-        let full_too = idle && state.known.asked.len() < room.places.len();
+        let full_too = idle && state.advice.asked.len() < room.places.len();
         let known = expected(&expired);
-        let missing = if there + known < needed { SPARE_ROOM * needed - there - known } else { 0.0 };
-        let fresh = fresh(&state.known, share, missing, state.pending, room, most * MOST_NAMED, |place| {
+        let missing = if there + known < needed { ROOM_FACTOR * needed - there - known } else { 0.0 };
+        let fresh = fresh(&state.advice, share, missing, state.pending, room, most * MAX_NAMED, |place| {
             slots(place).filter(|slots| *slots > 0 || full_too)
         });
         // Tickets for a part of a gang are of no use.
         let whole = !step.gang || there + known + expected(&fresh) >= needed;
-        let renewed = if whole { at_most(expired, SPARE_ROOM * needed - there) } else { Vec::new() };
-        if !idle && expected(&renewed) + expected(&fresh) < WORTH_ASKING * needed {
+        let renewed = if whole { at_most(expired, ROOM_FACTOR * needed - there) } else { Vec::new() };
+        if !idle && expected(&renewed) + expected(&fresh) < MIN_EXPECTED_SHARE * needed {
             return None;
         }
         Some(renewed.into_iter().chain(fresh).map(|named| named.id.clone()).collect())
@@ -154,7 +155,7 @@
 
 /// What the workers that were named before give.
 fn supply<'a>(
-    known: &Known,
+    known: &UnitAdvice,
     room: &'a Room,
     share: f64,
     until: Duration,
@@ -182,7 +183,7 @@
 
 /// Workers that weren't asked about yet, as many as are expected to give room for `missing` tasks; none if it is 0.
 fn fresh<'a>(
-    known: &Known,
+    known: &UnitAdvice,
     share: f64,
     missing: f64,
     tasks: usize,
@@ -202,11 +203,11 @@
     let mut found = 0.0;
     for (index, slots) in best(open, tasks, room, most) {
         // Where there is no room one question is enough, to learn who may run the unit.
-        let full = slots == 0 && workers.len() >= MOST_NAMED;
+        let full = slots == 0 && workers.len() >= MAX_NAMED;
         if full || (found >= missing && workers.len() >= fewest) {
             break;
         }
-        let expected = share * (slots as f64).max(ROOM_LATER);
+        let expected = share * (slots as f64).max(FULL_WORKER_TASKS);
         found += expected;
         workers.push(Named { id: &room.places[index].id, expected });
     }
@@ -235,21 +236,21 @@
 
 /// How many questions a unit may put at once, where so many hosts are free.
 fn most_questions(askers: usize) -> usize {
-    ((askers as f64 * SHARE_OF_ASKERS) as usize).max(1)
+    ((askers as f64 * MAX_ASKER_SHARE) as usize).max(1)
 }
 
 /// How many workers each question names, where `named` are to be named in at most so many questions.
 fn length(named: usize, advice: Advice, most: usize) -> usize {
     let naming = advice.per_worker.as_secs_f64() * named as f64;
-    let split = (naming / (LEAST_NAMING * advice.base.as_secs_f64()).max(f64::MIN_POSITIVE)).ceil();
+    let split = (naming / (MIN_NAMING_SHARE * advice.base.as_secs_f64()).max(f64::MIN_POSITIVE)).ceil();
     let questions = (split as usize).clamp(1, most);
-    named.div_ceil(questions).clamp(1, MOST_NAMED)
+    named.div_ceil(questions).clamp(1, MAX_NAMED)
 }
 
 /// How many workers to name at least, where this share of them may run a unit.
 fn fewest_named(share: f64) -> usize {
-    let enough = NONE_ALLOWED.ln() / (1.0 - share).max(f64::MIN_POSITIVE).ln();
-    (enough.ceil() as usize).clamp(FEWEST_NAMED, MOST_NAMED)
+    let enough = MAX_CHANCE_OF_NONE.ln() / (1.0 - share).max(f64::MIN_POSITIVE).ln();
+    (enough.ceil() as usize).clamp(MIN_NAMED, MAX_NAMED)
 }
 
 /// Of places, each with the tasks that fit there, the `most` that questions may name, the best first: with room for all
--- a/components/sched/src/quota.rs
+++ b/components/sched/src/quota.rs
@@ -17,12 +17,12 @@
 use crate::worker::{Contact, Worker};
 
 /// Place of a workspace among the accounts.
-pub(crate) type Number = usize;
+pub(crate) type WorkspaceIndex = usize;
 
 /// What a run takes of its workspace's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Charge {
-    pub workspace: Number,
+    pub workspace: WorkspaceIndex,
     pub need: Resources,
 }
 
@@ -40,17 +40,17 @@
 /// All workspaces that the book knows.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Quota {
-    numbers: HashMap<WorkspaceName, Number>,
+    indices: HashMap<WorkspaceName, WorkspaceIndex>,
     accounts: Vec<Account>,
     /// What earlier leaders have placed and what may run on, by worker.
-    inherited: HashMap<WorkerId, Vec<Earlier>>,
+    inherited: HashMap<WorkerId, Vec<InheritedRun>>,
     /// The same by task, while the log is read.
-    replayed: HashMap<Task, Vec<(WorkerId, Earlier)>>,
+    replayed: HashMap<Task, Vec<(WorkerId, InheritedRun)>>,
 }
 
 /// A run that an earlier leader has ordered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Earlier {
+struct InheritedRun {
     task: Task,
     attempt: Attempt,
     charge: Charge,
@@ -99,31 +99,31 @@
 
 impl Quota {
     /// The number of a workspace, which has no limit until a configuration names it.
-    pub(crate) fn number(&mut self, name: &str) -> Number {
-        if let Some(number) = self.numbers.get(name) {
-            return *number;
+    pub(crate) fn index(&mut self, name: &str) -> WorkspaceIndex {
+        if let Some(index) = self.indices.get(name) {
+            return *index;
         }
-        let number = self.accounts.len();
+        let index = self.accounts.len();
         self.accounts.push(Account { name: name.to_owned(), ..Account::default() });
-        self.numbers.insert(name.to_owned(), number);
-        number
+        self.indices.insert(name.to_owned(), index);
+        index
     }
 
-    pub(crate) fn name(&self, number: Number) -> Option<&WorkspaceName> {
-        self.accounts.get(number).map(|account| &account.name)
+    pub(crate) fn name(&self, index: WorkspaceIndex) -> Option<&WorkspaceName> {
+        self.accounts.get(index).map(|account| &account.name)
     }
 
     /// Takes the limits of a configuration. A workspace that it lacks keeps its last one: its jobs go on.
     pub(crate) fn configure(&mut self, config: &Config) {
         for workspace in &config.workspaces {
-            let number = self.number(&workspace.name);
-            self.accounts[number].limit = workspace.limit;
+            let index = self.index(&workspace.name);
+            self.accounts[index].limit = workspace.limit;
         }
     }
 
     /// How many tasks of this need may be started now.
-    pub(crate) fn tasks(&self, workspace: Option<Number>, need: &Resources) -> usize {
-        let Some(account) = workspace.and_then(|number| self.accounts.get(number)) else { return usize::MAX };
+    pub(crate) fn tasks(&self, workspace: Option<WorkspaceIndex>, need: &Resources) -> usize {
+        let Some(account) = workspace.and_then(|index| self.accounts.get(index)) else { return usize::MAX };
         let free = account.free();
         let ratio = |free: u32, need: u32| match free {
             u32::MAX => usize::MAX,
@@ -135,31 +135,31 @@
     }
 
     /// Counts tasks of this need as running.
-    pub(crate) fn take(&mut self, workspace: Option<Number>, need: &Resources, tasks: usize) {
-        if let Some(account) = workspace.and_then(|number| self.accounts.get_mut(number)) {
+    pub(crate) fn take(&mut self, workspace: Option<WorkspaceIndex>, need: &Resources, tasks: usize) {
+        if let Some(account) = workspace.and_then(|index| self.accounts.get_mut(index)) {
             account.used = account.used.saturating_add(&need.times(tasks));
         }
     }
 
     /// Counts a job as refused.
-    pub(crate) fn refuse(&mut self, workspace: &str) {
-        let number = self.number(workspace);
-        self.accounts[number].refused += 1;
+    pub(crate) fn count_refusal(&mut self, workspace: &str) {
+        let index = self.index(workspace);
+        self.accounts[index].refused += 1;
     }
 
     /// What runs and what may, for a workspace that has a limit: its use and the limit.
-    pub(crate) fn standing(&self, workspace: Number) -> Option<(Resources, Resources)> {
+    pub(crate) fn usage_and_limit(&self, workspace: WorkspaceIndex) -> Option<(Resources, Resources)> {
         let account = self.accounts.get(workspace)?;
         (account.limit != Resources::ZERO).then_some((account.used, account.limit))
     }
 
     /// Why a job of a workspace can never run, if it can't.
     pub(crate) fn excess(&self, workspace: &str, job: &Job) -> Option<Excess> {
-        let limit = self.accounts.get(*self.numbers.get(workspace)?)?.limit;
+        let limit = self.accounts.get(*self.indices.get(workspace)?)?.limit;
         let unused = Account { limit, ..Account::default() };
-        let excess = |(number, step): (usize, &Step)| {
+        let excess = |(index, step): (usize, &Step)| {
             let need = step.need.times(if step.gang { step.count as usize } else { 1 });
-            let excess = Excess { step: number as u16, need, limit };
+            let excess = Excess { step: index as u16, need, limit };
             (!need.fits_in(&unused.free())).then_some(excess)
         };
         job.steps.iter().enumerate().find_map(excess)
@@ -168,7 +168,7 @@
     /// The log tells of a run.
     pub(crate) fn replay_run(&mut self, task: Task, attempt: Attempt, worker: &str, charge: Charge) {
         let runs = self.replayed.entry(task).or_default();
-        let run = (worker.to_owned(), Earlier { task, attempt, charge });
+        let run = (worker.to_owned(), InheritedRun { task, attempt, charge });
         if !runs.contains(&run) {
             runs.push(run);
         }
@@ -244,7 +244,7 @@
     /// Why a job of a workspace can never run within its limit, if it can't: it is refused.
     pub fn excess(&mut self, workspace: &str, job: &Job) -> Option<Excess> {
         let excess = self.quota.excess(workspace, job)?;
-        self.quota.refuse(workspace);
+        self.quota.count_refusal(workspace);
         Some(excess)
     }
 
@@ -262,7 +262,7 @@
         let mut found: Vec<Workspace> = self.quota.accounts.iter().map(summary).collect();
         let live = self.live.iter().filter_map(|id| self.jobs.get(id));
         for entry in live {
-            let Some(workspace) = entry.workspace.and_then(|number| found.get_mut(number)) else { continue };
+            let Some(workspace) = entry.workspace.and_then(|index| found.get_mut(index)) else { continue };
             workspace.live += 1;
             workspace.waiting += usize::from(self.waits(entry));
         }
@@ -271,13 +271,13 @@
     }
 
     /// Why the tasks of a step wait for their workspace's limit, if they do.
-    pub(crate) fn waits_for_quota(&self, entry: &Entry, step: &Step, pending: usize) -> Option<String> {
+    pub(crate) fn quota_wait_reason(&self, entry: &Entry, step: &Step, pending: usize) -> Option<String> {
         let workspace = entry.workspace?;
         let least = if step.gang { pending } else { 1 };
         if self.quota.tasks(Some(workspace), &step.need) >= least {
             return None;
         }
-        let (used, limit) = self.quota.standing(workspace)?;
+        let (used, limit) = self.quota.usage_and_limit(workspace)?;
         let name = self.quota.name(workspace)?;
         let whole = if step.gang { ", all at once" } else { "" };
         Some(format!(
--- a/components/sched/src/rank.rs
+++ b/components/sched/src/rank.rs
@@ -8,7 +8,7 @@
 use crate::entry::Entry;
 
 /// A job that ends after this many times its objective earns nothing more.
-const LATE_OBJECTIVES: u32 = 3;
+const OVERDUE_FACTOR: u32 = 3;
 
 /// How much a job still earns by running now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -58,12 +58,12 @@
     pub(crate) fn can_wait(&self, clock: Clock, unit: Unit, time: Duration) -> bool {
         let Some(entry) = self.jobs.get(&unit.job) else { return false };
         let Some(queue) = self.queues.get(&entry.queue) else { return false };
-        let waited = clock.now.saturating_sub(self.begun(clock, entry, unit.round));
+        let waited = clock.now.saturating_sub(self.counted_since(clock, entry, unit.round));
         waited + remaining(entry, unit.round) + time <= objective(&entry.job, queue)
     }
 
     /// When the time of a round began to count.
-    fn begun(&self, clock: Clock, entry: &Entry, round: u32) -> Duration {
+    fn counted_since(&self, clock: Clock, entry: &Entry, round: u32) -> Duration {
         match entry.job.schedule {
             Some(_) => clock.now.saturating_sub(clock.wall.saturating_sub(entry.job.due(round))),
             None => entry.accepted.now,
@@ -71,17 +71,17 @@
     }
 
     fn key(&self, clock: Clock, entry: &Entry, queue: &Queue, round: u32) -> (Tier, u32, Duration) {
-        let begun = self.begun(clock, entry, round);
+        let counted_since = self.counted_since(clock, entry, round);
         let objective = objective(&entry.job, queue);
-        let waited = clock.now.saturating_sub(begun);
+        let waited = clock.now.saturating_sub(counted_since);
         let tier = if waited + remaining(entry, round) <= objective {
             Tier::OnTime
-        } else if waited <= objective * LATE_OBJECTIVES {
+        } else if waited <= objective * OVERDUE_FACTOR {
             Tier::Late
         } else {
             Tier::Overdue
         };
-        (tier, queue.priority, begun)
+        (tier, queue.priority, counted_since)
     }
 }
 
@@ -110,7 +110,7 @@
     let mut ends: Vec<Duration> = Vec::new();
     for (number, step) in entry.job.steps.iter().enumerate() {
         let start = step.after.iter().filter_map(|on| ends.get(usize::from(*on))).max().copied().unwrap_or_default();
-        let done = entry.units.get(&(round, number as u16)).is_some_and(|unit| unit.complete());
+        let done = entry.units.get(&(round, number as u16)).is_some_and(|unit| unit.is_complete());
         ends.push(if done { start } else { start + step.estimate });
     }
     ends.into_iter().max().unwrap_or_default()
--- a/components/sched/src/records.rs
+++ b/components/sched/src/records.rs
@@ -58,7 +58,7 @@
     pub fn retract(&mut self, id: JobId) {
         self.records.retain(|(_, record)| record.job() != Some(id) && record.placed() != Some(id));
         // If the job comes again, its starts have the same numbers.
-        self.decided.retain(|(_, _, start)| start.task.unit.job != id);
+        self.unsent_starts.retain(|(_, _, start)| start.task.unit.job != id);
         for worker in self.workers.values_mut() {
             worker.runs.retain(|(task, _), _| task.unit.job != id);
             worker.recount();
--- a/components/sched/src/ends.rs
+++ b/components/sched/src/reports.rs
@@ -8,17 +8,17 @@
 use crate::engine::{Clock, Engine};
 use crate::entry::{self, Begun, Placement};
 use crate::quota::Charge;
-use crate::worker::{Contact, End, FAILURES_IN_A_ROW, Phase, Report, Run, RunOutcome, Running};
+use crate::worker::{Contact, End, MAX_CONSECUTIVE_FAILURES, Phase, Report, Run, RunOutcome, Running};
 
 impl Engine {
     /// Takes in a worker's answer to a renewal under this reign's term. Whether it shows that the worker has started again.
     pub fn report(&mut self, clock: Clock, id: &str, report: Report) -> bool {
         let Some(worker) = self.workers.get_mut(id) else { return false };
-        let heard = std::mem::replace(&mut worker.heard, clock.now);
+        let last_heard = std::mem::replace(&mut worker.last_heard, clock.now);
         let first = std::mem::replace(&mut worker.contact, Contact::Held) == Contact::Unknown;
-        let left = std::mem::take(&mut worker.left);
-        self.undoubt(&left);
-        let restarted = self.look_for_restart(clock, id, heard, left, &report);
+        let left = std::mem::take(&mut worker.possibly_lost);
+        self.remove_silent(&left);
+        let restarted = self.look_for_restart(clock, id, last_heard, left, &report);
         if first {
             self.stop_handed_over(id);
         }
@@ -29,7 +29,7 @@
         for running in &report.running {
             self.running(clock, id, running);
         }
-        self.missing(clock, id, &report);
+        self.release_unlisted(clock, id, &report);
         restarted
     }
 
@@ -40,7 +40,7 @@
             worker.taken = end.number;
         }
         if !end.saved.is_empty() {
-            self.keep_saved(end.task, &end.saved);
+            self.save_checkpoint(end.task, &end.saved);
         }
         match end.how {
             RunOutcome::Done => self.done(clock, id, end.task, end.attempt),
@@ -66,7 +66,7 @@
     }
 
     /// Keeps the last checkpoint of a task, and of its gang if it is in one.
-    fn keep_saved(&mut self, task: Task, saved: &str) {
+    fn save_checkpoint(&mut self, task: Task, saved: &str) {
         let gang = self.step(task).is_some_and(|step| step.gang);
         let Some(unit) = self.unit_mut(task.unit) else { return };
         if gang {
@@ -105,16 +105,16 @@
                 let task = Task { unit: task.unit, index: index as u32 };
                 elsewhere.push(Placement { worker: worker.clone(), task, attempt: *other });
             }
-            unit.set(index, entry::Phase::Done);
+            unit.set_phase(index, entry::Phase::Done);
         }
         self.record(Record::Done { task });
         self.stop_runs(elsewhere);
-        self.finish(clock, task.unit.job);
+        self.complete_if_done(clock, task.unit.job);
     }
 
     /// Ends a job all of whose tasks are done.
-    pub(crate) fn finish(&mut self, clock: Clock, id: work::JobId) {
-        let complete = self.jobs.get(&id).is_some_and(|entry| entry.outcome.is_none() && entry.complete());
+    pub(crate) fn complete_if_done(&mut self, clock: Clock, id: work::JobId) {
+        let complete = self.jobs.get(&id).is_some_and(|entry| entry.outcome.is_none() && entry.is_complete());
         if complete {
             self.end(clock, id, Outcome::Completed);
         }
@@ -122,7 +122,7 @@
 
     /// Counts a failed run once, and fails the job when its attempts are used up.
     fn failed(&mut self, clock: Clock, id: &str, task: Task, attempt: Attempt) {
-        self.distrust(clock, id);
+        self.count_failure(clock, id);
         let Some(entry) = self.jobs.get(&task.unit.job) else { return };
         let Some(step) = entry.step(task.unit.step) else { return };
         let (gang, lasting, ended) = (step.gang, step.lasting, entry.outcome.is_some());
@@ -137,19 +137,19 @@
             return;
         }
         failed.push(attempt);
-        let spent = failed.len() >= most as usize;
+        let exhausted = failed.len() >= most as usize;
         self.record(Record::Failed { task, attempt });
-        if spent {
-            self.give_up(clock, [task.unit.job]);
+        if exhausted {
+            self.fail_jobs(clock, [task.unit.job]);
         }
     }
 
     /// Avoids a worker on which several runs in a row have failed.
-    fn distrust(&mut self, clock: Clock, id: &str) {
+    fn count_failure(&mut self, clock: Clock, id: &str) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         worker.failures += 1;
-        if worker.failures >= FAILURES_IN_A_ROW {
-            worker.avoid(clock.now, worker.failures - FAILURES_IN_A_ROW);
+        if worker.failures >= MAX_CONSECUTIVE_FAILURES {
+            worker.avoid(clock.now, worker.failures - MAX_CONSECUTIVE_FAILURES);
         }
     }
 
@@ -158,18 +158,18 @@
         self.begin(row.task);
         let Some(worker) = self.workers.get_mut(id) else { return };
         let tried = worker.suspects;
-        let Some(run) = worker.show(clock.now, row.task, row.attempt) else { return self.adopt(clock, id, row) };
+        let Some(run) = worker.mark_listed(clock.now, row.task, row.attempt) else { return self.adopt(clock, id, row) };
         if run.percent != row.percent {
             run.percent = row.percent;
-            run.moved = clock.now;
+            run.progressed_at = clock.now;
         }
         if worker.suspects < tried
             && let Some(state) = self.task_mut(row.task)
         {
-            state.survived();
+            state.mark_survived();
         }
         if !row.saved.is_empty() {
-            self.keep_saved(row.task, &row.saved);
+            self.save_checkpoint(row.task, &row.saved);
         }
     }
 
@@ -193,24 +193,24 @@
             charge,
             stoppable,
             percent: row.percent,
-            moved: clock.now,
-            decided: clock.now,
+            progressed_at: clock.now,
+            decided_at: clock.now,
             begun: Some(clock.now),
             listed: true,
             seen_running: true,
             suspect: false,
         };
-        worker.take(row.task, row.attempt, run);
+        worker.add_run(row.task, row.attempt, run);
         if !wanted {
             self.stop_run(id, row.task, row.attempt);
             return;
         }
         let held = entry::Phase::Held(id.to_owned(), row.attempt);
         if let Some(unit) = self.unit_mut(row.task.unit) {
-            unit.set(row.task.index as usize, held);
+            unit.set_phase(row.task.index as usize, held);
         }
         if !row.saved.is_empty() {
-            self.keep_saved(row.task, &row.saved);
+            self.save_checkpoint(row.task, &row.saved);
         }
     }
 
@@ -221,7 +221,7 @@
     }
 
     /// Releases runs that must have shown in this report and don't.
-    fn missing(&mut self, clock: Clock, id: &str, report: &Report) {
+    fn release_unlisted(&mut self, clock: Clock, id: &str, report: &Report) {
         let shown: BTreeSet<(Task, Attempt)> = report.running.iter().map(|row| (row.task, row.attempt)).collect();
         let Some(worker) = self.workers.get(id) else { return };
         let lost: Vec<(Task, Attempt)> = worker
--- a/components/sched/src/restart.rs
+++ b/components/sched/src/restart.rs
@@ -8,9 +8,9 @@
 
 use work::{Attempt, Task};
 
-use crate::ends::must_show;
 use crate::engine::{Clock, Engine};
-use crate::loss::{EndedWorker, LostRun, WorkerEndReason};
+use crate::lost_runs::{EndedWorker, LostRun, WorkerEndReason};
+use crate::reports::must_show;
 use crate::worker::{Report, Run, Worker};
 
 impl Engine {
@@ -20,7 +20,7 @@
         &mut self,
         clock: Clock,
         id: &str,
-        heard: Duration,
+        last_heard: Duration,
         left: Vec<LostRun>,
         report: &Report,
     ) -> bool {
@@ -30,11 +30,11 @@
         let vanished = worker.vanished(&listed, report.mark);
         let mut runs: Vec<LostRun> =
             left.into_iter().filter(|lost| lost.begun && !listed.contains(&lost.key())).collect();
-        if vanished.is_empty() && runs.is_empty() && !worker.numbers_begin_again(report) {
+        if vanished.is_empty() && runs.is_empty() && !worker.has_repeated_end_number(report) {
             return false;
         }
-        runs.extend(self.losses(id, heard).into_iter().filter(|lost| vanished.contains(&lost.key())));
-        let silent = clock.now.saturating_sub(heard);
+        runs.extend(self.losses(id, last_heard).into_iter().filter(|lost| vanished.contains(&lost.key())));
+        let silent = clock.now.saturating_sub(last_heard);
         let mut ended = EndedWorker {
             worker: id.to_owned(),
             reason: WorkerEndReason::Restarted,
@@ -43,12 +43,12 @@
             runs,
             next: None,
         };
-        let spent = self.hold_against(&mut ended);
+        let exhausted = self.attribute_end(&mut ended);
         self.ended_workers.push(ended);
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.begin_anew();
+            worker.reset_for_new_life();
         }
-        self.give_up(clock, spent);
+        self.fail_jobs(clock, exhausted);
         true
     }
 }
@@ -63,12 +63,12 @@
     }
 
     /// Whether a run that is still held has ended under a number that was taken in before: in one life numbers only rise.
-    fn numbers_begin_again(&self, report: &Report) -> bool {
+    fn has_repeated_end_number(&self, report: &Report) -> bool {
         report.ended.iter().any(|end| end.number <= self.taken && self.runs.contains_key(&(end.task, end.attempt)))
     }
 
     /// Forgets what doesn't hold for a next life: the numbers of its ends begin again, and it has neither failed nor left anything unanswered.
-    fn begin_anew(&mut self) {
+    fn reset_for_new_life(&mut self) {
         self.taken = 0;
         self.acked = 0;
         self.pending.clear();
--- a/components/sched/src/restore.rs
+++ b/components/sched/src/restore.rs
@@ -6,10 +6,10 @@
 
 use work::{Attempt, JobId, Outcome, Record, Task, Unit, WorkerId, WorkspaceName};
 
-use crate::blame::Crash;
+use crate::crashes::Crash;
 use crate::engine::{Clock, Engine, Owner};
 use crate::entry::{Accepted, Begun, Ended, Entry, Inherited, Phase, TaskState, UnitState};
-use crate::loss::LostRun;
+use crate::lost_runs::LostRun;
 use crate::quota::Charge;
 use crate::worker::{Worker, WorkerInfo};
 
@@ -32,7 +32,7 @@
                 self.replay_crash(task, Crash { worker, attempt, evidence });
             }
             Record::Worker { id, address } => {
-                let info = WorkerInfo { address, ..unlisted() };
+                let info = WorkerInfo { address, ..unlisted_info() };
                 let worker = Worker::new(info, Some(clock.now), 0, clock.now);
                 self.workers.entry(id).or_insert(worker);
             }
@@ -41,7 +41,7 @@
                 self.departed.insert(id);
             }
             Record::Leftover { task, attempt, worker, workspace, need } => {
-                let workspace = self.quota.number(&workspace);
+                let workspace = self.quota.index(&workspace);
                 self.quota.replay_run(task, attempt, &worker, Charge { workspace, need });
             }
         }
@@ -49,9 +49,9 @@
 
     /// Ends jobs that the log shows as done without a record of their end.
     pub fn replayed(&mut self, clock: Clock) {
-        self.fail_spent(clock);
+        self.fail_exhausted(clock);
         let ids: Vec<JobId> = self.live.iter().copied().collect();
-        ids.into_iter().for_each(|id| self.finish(clock, id));
+        ids.into_iter().for_each(|id| self.complete_if_done(clock, id));
         self.quota.replayed();
         self.inherit_runs();
     }
@@ -62,8 +62,8 @@
         for (task, run) in self.inherited_runs().into_iter().chain(self.take_placed_before()) {
             let Some(worker) = self.workers.get_mut(&run.worker) else { continue };
             let lost = LostRun::inherited(task, run.attempt);
-            worker.left.push(lost.clone());
-            self.doubt(&[lost]);
+            worker.possibly_lost.push(lost.clone());
+            self.add_silent(&[lost]);
         }
     }
 
@@ -101,27 +101,27 @@
     }
 
     /// Ends jobs that have used up their attempts.
-    pub(crate) fn fail_spent(&mut self, clock: Clock) {
-        let ids: Vec<JobId> = self.live.iter().copied().filter(|id| self.spent(*id)).collect();
-        self.give_up(clock, ids);
+    pub(crate) fn fail_exhausted(&mut self, clock: Clock) {
+        let ids: Vec<JobId> = self.live.iter().copied().filter(|id| self.is_exhausted(*id)).collect();
+        self.fail_jobs(clock, ids);
     }
 
     /// Whether a task, or a gang, of a job has used up its attempts, or a task takes its workers down.
-    fn spent(&self, id: JobId) -> bool {
+    fn is_exhausted(&self, id: JobId) -> bool {
         let Some(entry) = self.jobs.get(&id) else { return false };
         let mut tasks = entry.units.values().flat_map(|unit| &unit.tasks);
-        if tasks.any(|task| task.phase != Phase::Done && task.takes_workers_down()) {
+        if tasks.any(|task| task.phase != Phase::Done && task.crashes_workers()) {
             return true;
         }
         let Some(queue) = self.queues.get(&entry.queue) else { return false };
         let most = queue.max_attempts as usize;
-        let spent = |((_, step), unit): (&(u32, u16), &UnitState)| {
+        let exhausted = |((_, step), unit): (&(u32, u16), &UnitState)| {
             let lasting = entry.step(*step).is_some_and(|step| step.lasting);
-            let task_spent = |task: &TaskState| task.phase != Phase::Done && task.failed.len() >= most;
-            let gang_spent = !unit.complete() && unit.failed.len() >= most;
-            !lasting && (gang_spent || unit.tasks.iter().any(task_spent))
+            let task_exhausted = |task: &TaskState| task.phase != Phase::Done && task.failed.len() >= most;
+            let gang_exhausted = !unit.is_complete() && unit.failed.len() >= most;
+            !lasting && (gang_exhausted || unit.tasks.iter().any(task_exhausted))
         };
-        entry.units.iter().any(spent)
+        entry.units.iter().any(exhausted)
     }
 
     fn replay_job(&mut self, clock: Clock, id: JobId, owner: Owner, at: Duration, job: work::Job) {
@@ -166,7 +166,7 @@
         let gang = self.step(task).is_some_and(|step| step.gang);
         let Some(unit) = self.replay_unit(task.unit, Begun::Yes) else { return };
         let done = unit.done_with(task.index, gang);
-        done.clone().for_each(|index| unit.set(index, Phase::Done));
+        done.clone().for_each(|index| unit.set_phase(index, Phase::Done));
         done.for_each(|index| self.quota.replay_done(Task { index: index as u32, ..task }));
     }
 
@@ -183,7 +183,7 @@
     fn replay_crash(&mut self, task: Task, crash: Crash) {
         let Some(unit) = self.replay_unit(task.unit, Begun::Yes) else { return };
         if let Some(state) = unit.tasks.get_mut(task.index as usize) {
-            state.hold_against(crash);
+            state.record_crash(crash);
         }
     }
 
@@ -197,14 +197,14 @@
         let Some(entry) = self.jobs.get_mut(&id) else { return };
         entry.outcome = Some(Ended { outcome, position: 0, at: clock.now });
         entry.begun = Begun::Yes;
-        entry.forget_work();
+        entry.release_memory();
         self.live.remove(&id);
     }
 
     /// Everything that must be kept of jobs, as new records: of an ended one, only how it ended. Nothing for a job that is no longer kept.
     pub fn rewrite(&mut self, ids: impl IntoIterator<Item = JobId>) {
         let ids: BTreeSet<JobId> = ids.into_iter().collect();
-        let mut left = self.left_behind(&ids);
+        let mut left = self.outstanding_records(&ids);
         ids.into_iter().for_each(|id| self.rewrite_job(id, left.remove(&id).unwrap_or_default()));
     }
 
@@ -220,15 +220,15 @@
             None => live_records(id, entry, workspace, placed),
         };
         records.extend(leftovers);
-        records.into_iter().for_each(|record| self.rewritten(record));
+        records.into_iter().for_each(|record| self.record_rewritten(record));
     }
 
     /// What may be on workers besides the runs that tasks of these jobs wait for, by job. Placements on workers whose leases have run out and whose end
     /// isn't known yet would count against no task once these records were gone, and leftovers against no limit.
-    fn left_behind(&self, ids: &BTreeSet<JobId>) -> HashMap<JobId, Vec<Record>> {
+    fn outstanding_records(&self, ids: &BTreeSet<JobId>) -> HashMap<JobId, Vec<Record>> {
         let mut found: HashMap<JobId, Vec<Record>> = HashMap::new();
         for (id, worker) in &self.workers {
-            for lost in worker.left.iter().filter(|lost| ids.contains(&lost.task.unit.job)) {
+            for lost in worker.possibly_lost.iter().filter(|lost| ids.contains(&lost.task.unit.job)) {
                 let placed = Record::Placed { task: lost.task, attempt: lost.attempt, worker: id.clone() };
                 found.entry(lost.task.unit.job).or_default().push(placed);
             }
@@ -252,7 +252,7 @@
             .is_some_and(|state| matches!(&state.phase, Phase::Held(on, run) if on == worker && *run == attempt))
     }
 
-    fn rewritten(&mut self, record: Record) {
+    fn record_rewritten(&mut self, record: Record) {
         self.record(Record::Rewritten(Box::new(record)));
     }
 
@@ -261,7 +261,7 @@
         for id in ids {
             let Some(worker) = self.workers.get(&id) else { continue };
             let address = worker.info.address.clone();
-            self.rewritten(Record::Worker { id, address });
+            self.record_rewritten(Record::Worker { id, address });
         }
     }
 }
@@ -309,7 +309,7 @@
 }
 
 /// A worker that the log names and the list doesn't: it is renewed, but gets no work.
-pub(crate) fn unlisted() -> WorkerInfo {
+pub(crate) fn unlisted_info() -> WorkerInfo {
     WorkerInfo {
         address: String::new(),
         pool: String::new(),
--- a/components/sched/src/room.rs
+++ b/components/sched/src/room.rs
@@ -7,13 +7,13 @@
 use model::Resources;
 use work::{Queue, Step, WorkerId};
 
-use crate::ends::taken_room;
 use crate::entry::{Phase, TaskState, UnitState};
 use crate::preempt::Claim;
-use crate::worker::{Doubt, Pauses, Worker, WorkerInfo};
+use crate::reports::taken_room;
+use crate::worker::{Health, Pauses, Worker, WorkerInfo};
 
 /// Most tasks of one need that are counted at one place: beyond any worker's size.
-const MOST_SLOTS: u32 = 1000;
+const MAX_SLOTS: u32 = 1000;
 
 /// A worker that may get new work, with the room that is left in this pass.
 #[derive(Clone, Debug)]
@@ -26,9 +26,9 @@
     open: Resources,
     /// Room that is kept for units, there or still to come free.
     claimed: Resources,
-    pub doubt: Doubt,
+    pub health: Health,
     /// Runs that it hasn't listed yet.
-    new: u32,
+    new_runs: u32,
     /// All its runs.
     runs: usize,
 }
@@ -58,25 +58,25 @@
 /// What places are compared by; the least is taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Cost {
-    doubt: Doubt,
+    health: Health,
     far: bool,
     left_accelerators: u32,
     left_cpu: u32,
 }
 
 /// What a worker has to offer: nothing while it is tried with one task, or a task is tried there that may take it down.
-fn offer(worker: &Worker, now: Duration, pauses: Pauses) -> Option<(Resources, Doubt)> {
-    let doubt = worker.doubt(now, pauses);
-    let tried = doubt == Doubt::Trial && !worker.runs.is_empty();
-    (!tried && worker.suspects == 0).then_some((worker.free, doubt))
+fn offer(worker: &Worker, now: Duration, pauses: Pauses) -> Option<(Resources, Health)> {
+    let health = worker.health(now, pauses);
+    let tried = health == Health::Probation && !worker.runs.is_empty();
+    (!tried && worker.suspects == 0).then_some((worker.free, health))
 }
 
 impl Place {
     fn new(id: &WorkerId, worker: &Worker, now: Duration, pauses: Pauses) -> Option<Place> {
-        let (free, doubt) = offer(worker, now, pauses)?;
+        let (free, health) = offer(worker, now, pauses)?;
         let info = worker.info.clone();
-        let (new, runs) = (worker.new, worker.runs.len());
-        Some(Place { id: id.clone(), info, free, open: free, claimed: Resources::ZERO, doubt, new, runs })
+        let (new_runs, runs) = (worker.new_runs, worker.runs.len());
+        Some(Place { id: id.clone(), info, free, open: free, claimed: Resources::ZERO, health, new_runs, runs })
     }
 
     /// Sets how much room there is, of which nothing is claimed.
@@ -97,7 +97,7 @@
         let cpu = ratio(free.cpu_milli, need.cpu_milli);
         let memory = ratio(free.memory_mib, need.memory_mib);
         let accelerators = ratio(free.accelerators, need.accelerators);
-        let most = if self.doubt == Doubt::Trial { 1 } else { MOST_SLOTS };
+        let most = if self.health == Health::Probation { 1 } else { MAX_SLOTS };
         cpu.min(memory).min(accelerators).min(most) as usize
     }
 
@@ -110,7 +110,7 @@
     /// The same if so much room were free.
     pub(crate) fn tasks_in(&self, free: &Resources, state: &UnitState, step: &Step) -> usize {
         // One member that fails breaks a whole gang.
-        if step.gang && self.doubt == Doubt::Trial {
+        if step.gang && self.health == Health::Probation {
             return 0;
         }
         let slots = self.slots(free, &taken_room(step));
@@ -154,11 +154,11 @@
     ) -> bool {
         let mut places = self.places.iter_mut();
         for (id, worker) in workers {
-            let Some((free, doubt)) = offer(worker, now, pauses) else { continue };
+            let Some((free, health)) = offer(worker, now, pauses) else { continue };
             let Some(place) = places.next().filter(|place| place.id == *id) else { return false };
             place.set_open(free);
-            place.doubt = doubt;
-            place.new = worker.new;
+            place.health = health;
+            place.new_runs = worker.new_runs;
             place.runs = worker.runs.len();
             if !Arc::ptr_eq(&place.info, &worker.info) {
                 place.info = worker.info.clone();
@@ -173,9 +173,9 @@
 
     /// Takes avoided places out of the choice, unless most are: then the trouble isn't theirs.
     fn finish(&mut self) {
-        let avoided = self.places.iter().filter(|place| place.doubt == Doubt::Avoided).count();
+        let avoided = self.places.iter().filter(|place| place.health == Health::Avoided).count();
         if avoided * 2 < self.places.len() {
-            let troubled = self.places.iter_mut().filter(|place| place.doubt == Doubt::Avoided);
+            let troubled = self.places.iter_mut().filter(|place| place.health == Health::Avoided);
             troubled.for_each(|place| place.set_open(Resources::ZERO));
         }
         self.measure();
@@ -225,14 +225,14 @@
     pub(crate) fn take(&mut self, choices: &[Choice], need: &Resources) {
         for (_, place) in choices {
             let place = &mut self.places[*place];
-            place.new += 1;
+            place.new_runs += 1;
             place.runs += 1;
             if let Some((_, cores)) = self.cores.iter_mut().find(|(name, _)| *name == place.info.pool) {
                 cores.free = cores.free.saturating_sub(u64::from(need.cpu_milli));
             }
-            place.open = match place.doubt {
-                Doubt::Trial => Resources::ZERO,
-                Doubt::None | Doubt::Some | Doubt::Avoided => place.open.saturating_sub(need),
+            place.open = match place.health {
+                Health::Probation => Resources::ZERO,
+                Health::Good | Health::Degraded | Health::Avoided => place.open.saturating_sub(need),
             };
             place.free = place.free_after(&Resources::ZERO);
         }
@@ -250,7 +250,7 @@
     pub(crate) fn choose(
         &self,
         now: Duration,
-        reached: Duration,
+        start_arrival: Duration,
         state: &UnitState,
         step: &Step,
         queue: &Queue,
@@ -259,14 +259,14 @@
         if !self.may_fit(&need) {
             return Vec::new();
         }
-        let allowed = self.allowed(reached, state, step, queue);
+        let allowed = self.allowed(start_arrival, state, step, queue);
         let tasks = |places: &[usize]| places.iter().map(|index| self.places[*index].tasks(state, step)).sum::<usize>();
         if step.gang && tasks(&allowed) < state.pending {
             return Vec::new();
         }
         let pending: Vec<usize> = waiting(state).collect();
-        let choices = match state.apart_until {
-            Some(_) => self.fill_apart(now, &pending, allowed, state, step, &need),
+        let choices = match state.isolated_until {
+            Some(_) => self.fill_isolated(now, &pending, allowed, state, step, &need),
             None if step.same_rack => self
                 .fill_rack(&pending, &allowed, state, step, &need)
                 .unwrap_or_else(|| self.fill(&pending, allowed, state, step, &need)),
@@ -280,7 +280,7 @@
 
     /// Places for tasks of which some may take their workers down: for these where nothing has just begun and least is lost, for the
     /// others elsewhere if they can.
-    fn fill_apart(
+    fn fill_isolated(
         &self,
         now: Duration,
         pending: &[usize],
@@ -291,10 +291,10 @@
     ) -> Vec<Choice> {
         let (suspects, others): (Vec<usize>, Vec<usize>) =
             pending.iter().partition(|index| state.tasks[**index].is_suspect());
-        let quiet = |index: &usize| self.places[*index].new == 0 || !state.insists_on_apart(now);
-        let mut apart: Vec<usize> = allowed.iter().copied().filter(quiet).collect();
-        apart.sort_by_key(|index| (self.places[*index].new, self.places[*index].runs, *index));
-        let mut choices = self.fill_in_order(&suspects, apart, state, step);
+        let quiet = |index: &usize| self.places[*index].new_runs == 0 || !state.requires_isolation(now);
+        let mut isolated: Vec<usize> = allowed.iter().copied().filter(quiet).collect();
+        isolated.sort_by_key(|index| (self.places[*index].new_runs, self.places[*index].runs, *index));
+        let mut choices = self.fill_in_order(&suspects, isolated, state, step);
         let (tried, elsewhere): (Vec<usize>, Vec<usize>) =
             allowed.into_iter().partition(|index| choices.iter().any(|(_, place)| place == index));
         choices.extend(self.fill(&others, elsewhere, state, step, need));
@@ -337,7 +337,7 @@
         };
         match queue.advice {
             None => (0..self.places.len()).filter(fits).collect(),
-            Some(_) => state.known.tickets(now).filter_map(|id| self.index.get(id).copied()).filter(fits).collect(),
+            Some(_) => state.advice.tickets(now).filter_map(|id| self.index.get(id).copied()).filter(fits).collect(),
         }
     }
 
@@ -400,7 +400,7 @@
 fn cost(place: &Place, step: &Step, need: &Resources) -> Cost {
     let left = place.free.saturating_sub(need);
     Cost {
-        doubt: place.doubt,
+        health: place.health,
         far: !step.rack.is_empty() && !place.info.labels.contains(&step.rack),
         left_accelerators: left.accelerators,
         left_cpu: left.cpu_milli,
--- a/components/sched/src/stall.rs
+++ b/components/sched/src/stall.rs
@@ -7,17 +7,17 @@
 
 use work::{JobId, Unit};
 
-use crate::ends::taken_room;
 use crate::engine::{Clock, Engine};
 use crate::entry::Entry;
+use crate::reports::taken_room;
 
 /// A job may have nothing running for this long, between two steps or while a question is asked, before it is reported.
-const PATIENCE: Duration = Duration::from_secs(3);
+const STALL_AFTER: Duration = Duration::from_secs(3);
 /// Most jobs that one look explains: explaining one takes a look at all workers.
-const MOST_EXPLAINED: usize = 8;
+const MAX_EXPLAINED: usize = 8;
 
 /// Most runs that a report names: a step may have hundreds.
-const MOST_NAMED: usize = 5;
+const MAX_NAMED: usize = 5;
 
 /// A job that has nothing running although there is room.
 #[derive(Clone, Debug, PartialEq)]
@@ -40,13 +40,13 @@
     /// Jobs that have had nothing running for a while although a task of theirs could find room, each reported once until it runs again. A
     /// job whose tasks are placed but not listed by their workers counts, too.
     pub fn stalls(&mut self, clock: Clock) -> Vec<Stall> {
-        let idle: Vec<JobId> = self.live.iter().copied().filter(|id| self.is_idle(*id)).collect();
+        let idle: Vec<JobId> = self.live.iter().copied().filter(|id| self.is_job_idle(*id)).collect();
         self.idle_since.retain(|id, _| idle.binary_search(id).is_ok());
         let mut due = Vec::new();
         for id in idle {
             let idle = self.idle_since.entry(id).or_insert(Idle { since: clock.now, reported: false });
             let lasted = clock.now.saturating_sub(idle.since);
-            if lasted >= PATIENCE && !idle.reported && due.len() < MOST_EXPLAINED {
+            if lasted >= STALL_AFTER && !idle.reported && due.len() < MAX_EXPLAINED {
                 due.push((id, lasted));
             }
         }
@@ -54,7 +54,7 @@
     }
 
     /// Whether a job could go on and no worker lists a run of it.
-    fn is_idle(&self, id: JobId) -> bool {
+    fn is_job_idle(&self, id: JobId) -> bool {
         let Some(entry) = self.jobs.get(&id).filter(|entry| entry.accepted.position <= self.durable) else {
             return false;
         };
@@ -77,8 +77,8 @@
         if unlisted == 0 && !self.room.may_fit(&need) {
             return None;
         }
-        let named = state.placements(unit).take(MOST_NAMED).map(|run| format!("{} on {}", run.task, run.worker));
-        let why = if state.pending == 0 { String::new() } else { self.reason(clock, entry, unit, state) };
+        let named = state.placements(unit).take(MAX_NAMED).map(|run| format!("{} on {}", run.task, run.worker));
+        let why = if state.pending == 0 { String::new() } else { self.wait_reason(clock, entry, unit, state) };
         let stall = Stall { unit, lasted, waiting: state.pending, unlisted, named: named.collect(), why };
         if let Some(idle) = self.idle_since.get_mut(&id) {
             idle.reported = true;
@@ -101,6 +101,6 @@
 
 /// The first unit of a job that isn't done and waits for no other.
 fn first_open(id: JobId, entry: &Entry) -> Option<Unit> {
-    let open = entry.units.iter().find(|((round, step), unit)| !unit.complete() && entry.unblocked(*round, *step));
+    let open = entry.units.iter().find(|((round, step), unit)| !unit.is_complete() && entry.unblocked(*round, *step));
     open.map(|((round, step), _)| Unit { job: id, round: *round, step: *step })
 }
--- a/components/sched/src/worker.rs
+++ b/components/sched/src/worker.rs
@@ -7,7 +7,7 @@
 use model::Resources;
 use work::{Attempt, Task};
 
-use crate::loss::LostRun;
+use crate::lost_runs::LostRun;
 use crate::quota::Charge;
 
 /// A worker that is missing in the list is used this much longer, if it answers: its entry may be on its way back.
@@ -15,20 +15,20 @@
 /// How long a worker is avoided after the first trouble: about as long as a passing disturbance.
 const FIRST_PAUSE: Duration = Duration::from_secs(1);
 /// The pause grows up to 8 s; then the worker is tried again.
-const MOST_DOUBLINGS: u32 = 3;
+const MAX_PAUSE_DOUBLINGS: u32 = 3;
 /// Failures in a row, of any tasks, after which a worker is avoided.
-pub(crate) const FAILURES_IN_A_ROW: u32 = 3;
+pub(crate) const MAX_CONSECUTIVE_FAILURES: u32 = 3;
 /// After its pause a worker is on trial for so long, unless a task is done there. Without an end to it a gang that needs every
 /// worker waited for ever, once all single tasks were done.
-const TRIAL: Duration = Duration::from_secs(10);
+const PROBATION: Duration = Duration::from_secs(10);
 /// The progress of a run rises at least this often: a hundredth of the longest ones, of 16 s, takes 0.16 s, and reports come
 /// every 0.4 s. Where they come more rarely it is longer by that.
-const STANDSTILL: Duration = Duration::from_millis(1200);
+const NO_PROGRESS_TIMEOUT: Duration = Duration::from_millis(1200);
 /// A run that is listed so long after it began doesn't take its worker down by beginning: ten times what that takes.
-const MOMENT: Duration = Duration::from_millis(100);
+const STARTUP_WINDOW: Duration = Duration::from_millis(100);
 /// A worker that hasn't answered for so long gets no new work: three renewals have failed. Where renewals are further apart it is
 /// longer by that.
-const SILENCE: Duration = Duration::from_millis(1200);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1200);
 
 /// What a worker says of itself in the platform's list.
 #[derive(Clone, Debug, PartialEq)]
@@ -159,16 +159,16 @@
     pub stoppable: Option<u32>,
     pub percent: u8,
     /// When the percentage last rose.
-    pub moved: Duration,
+    pub progressed_at: Duration,
     /// When it was decided on, or found there.
-    pub decided: Duration,
+    pub decided_at: Duration,
     /// When the worker answered its start, or first listed it.
     pub begun: Option<Duration>,
     /// Whether the worker has listed it: an answer to its start may be that of the worker's next life.
     pub listed: bool,
     /// Whether the worker has listed it when it had run for a moment.
     pub seen_running: bool,
-    /// Whether its task may take the worker down; see [`crate::blame`].
+    /// Whether its task may take the worker down; see [`crate::crashes`].
     pub suspect: bool,
 }
 
@@ -185,13 +185,13 @@
 
 /// How little is to be expected of a worker; the less the better.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Doubt {
+pub(crate) enum Health {
     /// Nothing speaks against it.
-    None,
+    Good,
     /// Its last run failed, or nothing moves there.
-    Some,
+    Degraded,
     /// It has failed again and again: it gets one task at a time until one is done.
-    Trial,
+    Probation,
     /// It is left alone for a while.
     Avoided,
 }
@@ -211,22 +211,22 @@
     pub info: Arc<WorkerInfo>,
     pub contact: Contact,
     /// Since when the platform's list lacks it; `None` while it is listed.
-    pub missing: Option<Duration>,
+    pub unlisted_since: Option<Duration>,
     /// Position of the record that names it; it gets orders only when that is durable.
     pub position: u64,
     /// When it last answered.
-    pub heard: Duration,
+    pub last_heard: Duration,
     pub free: Resources,
     pub runs: BTreeMap<(Task, Attempt), Run>,
     /// Runs that it hasn't listed yet.
-    pub new: u32,
+    pub new_runs: u32,
     /// Of these, those of suspects.
     pub suspects: u32,
     /// What was there when it was last heard of, though its leases have run out or an earlier leader placed it. It counts if the worker
     /// turns out to have ended.
-    pub left: Vec<LostRun>,
+    pub possibly_lost: Vec<LostRun>,
     /// Whether it follows another life under its name; see [`crate::handover`].
-    pub follows: bool,
+    pub follows_earlier_life: bool,
     /// Highest end that was taken in.
     pub taken: u64,
     /// Ends that wait for their records: number, and position of the records.
@@ -242,19 +242,19 @@
 }
 
 impl Worker {
-    pub(crate) fn new(info: WorkerInfo, missing: Option<Duration>, position: u64, now: Duration) -> Worker {
+    pub(crate) fn new(info: WorkerInfo, unlisted_since: Option<Duration>, position: u64, now: Duration) -> Worker {
         Worker {
             free: info.capacity,
             info: Arc::new(info),
             contact: Contact::Unknown,
-            missing,
+            unlisted_since,
             position,
-            heard: now,
+            last_heard: now,
             runs: BTreeMap::new(),
-            new: 0,
+            new_runs: 0,
             suspects: 0,
-            left: Vec::new(),
-            follows: false,
+            possibly_lost: Vec::new(),
+            follows_earlier_life: false,
             taken: 0,
             pending: VecDeque::new(),
             acked: 0,
@@ -266,46 +266,47 @@
 
     /// Leaves it alone for a while, twice as long with each time.
     pub(crate) fn avoid(&mut self, now: Duration, times: u32) {
-        let pause = FIRST_PAUSE * 2u32.pow(times.min(MOST_DOUBLINGS));
+        let pause = FIRST_PAUSE * 2u32.pow(times.min(MAX_PAUSE_DOUBLINGS));
         self.avoid_until = self.avoid_until.max(now + pause);
     }
 
     /// How little is to be expected of it.
-    pub(crate) fn doubt(&self, now: Duration, pauses: Pauses) -> Doubt {
+    pub(crate) fn health(&self, now: Duration, pauses: Pauses) -> Health {
         if self.avoid_until > now {
-            Doubt::Avoided
-        } else if self.failures >= FAILURES_IN_A_ROW && now < self.avoid_until + TRIAL {
-            Doubt::Trial
-        } else if self.failures > 0 || self.stands_still(now, pauses.busy) {
-            Doubt::Some
+            Health::Avoided
+        } else if self.failures >= MAX_CONSECUTIVE_FAILURES && now < self.avoid_until + PROBATION {
+            Health::Probation
+        } else if self.failures > 0 || self.is_stuck(now, pauses.busy) {
+            Health::Degraded
         } else {
-            Doubt::None
+            Health::Good
         }
     }
 
     /// Whether it runs something, and none of it has moved lately.
-    fn stands_still(&self, now: Duration, pause: Duration) -> bool {
-        let still = STANDSTILL + pause;
-        let moves = |run: &Run| !matches!(run.phase, Phase::Running(_)) || now.saturating_sub(run.moved) < still;
+    fn is_stuck(&self, now: Duration, pause: Duration) -> bool {
+        let still = NO_PROGRESS_TIMEOUT + pause;
+        let moves =
+            |run: &Run| !matches!(run.phase, Phase::Running(_)) || now.saturating_sub(run.progressed_at) < still;
         !self.runs.is_empty() && !self.runs.values().any(moves)
     }
 
     /// Takes the room of a run.
-    pub(crate) fn take(&mut self, task: Task, attempt: Attempt, run: Run) {
+    pub(crate) fn add_run(&mut self, task: Task, attempt: Attempt, run: Run) {
         self.free = self.free.saturating_sub(&run.need);
-        self.new += u32::from(!run.seen_running);
+        self.new_runs += u32::from(!run.seen_running);
         self.suspects += u32::from(!run.seen_running && run.suspect);
         self.runs.insert((task, attempt), run);
     }
 
     /// Takes note that it lists a run, if it has it.
-    pub(crate) fn show(&mut self, now: Duration, task: Task, attempt: Attempt) -> Option<&mut Run> {
+    pub(crate) fn mark_listed(&mut self, now: Duration, task: Task, attempt: Attempt) -> Option<&mut Run> {
         let run = self.runs.get_mut(&(task, attempt))?;
         run.listed = true;
         let begun = *run.begun.get_or_insert(now);
-        if !run.seen_running && now.saturating_sub(begun) >= MOMENT {
+        if !run.seen_running && now.saturating_sub(begun) >= STARTUP_WINDOW {
             run.seen_running = true;
-            self.new -= 1;
+            self.new_runs -= 1;
             self.suspects -= u32::from(run.suspect);
         }
         Some(run)
@@ -316,14 +317,14 @@
     /// Entries that ran out while the store was away come back a little later: a worker that answers meanwhile
     /// goes on being used.
     pub(crate) fn usable(&self, now: Duration, durable: u64, pauses: Pauses) -> bool {
-        let listed = self.missing.is_none_or(|since| now.saturating_sub(since) < LIST_GRACE);
+        let listed = self.unlisted_since.is_none_or(|since| now.saturating_sub(since) < LIST_GRACE);
         let pause = if self.runs.is_empty() { pauses.idle } else { pauses.busy };
-        let heard = now.saturating_sub(self.heard) < SILENCE + pause;
-        listed && heard && self.contact == Contact::Held && self.info.is_open() && self.position <= durable
+        let responsive = now.saturating_sub(self.last_heard) < SILENCE_TIMEOUT + pause;
+        listed && responsive && self.contact == Contact::Held && self.info.is_open() && self.position <= durable
     }
 
     /// Gives the room of a run back, by counting anew: an adopted run may have exceeded the room.
-    pub(crate) fn release(&mut self, task: Task, attempt: Attempt) -> Option<Run> {
+    pub(crate) fn remove_run(&mut self, task: Task, attempt: Attempt) -> Option<Run> {
         let run = self.runs.remove(&(task, attempt))?;
         self.recount();
         Some(run)
@@ -332,7 +333,7 @@
     /// Counts the free room and the new runs anew.
     pub(crate) fn recount(&mut self) {
         let new = || self.runs.values().filter(|run| !run.seen_running);
-        self.new = new().count() as u32;
+        self.new_runs = new().count() as u32;
         self.suspects = new().filter(|run| run.suspect).count() as u32;
         self.free = self.runs.values().fold(self.info.capacity, |free, run| free.saturating_sub(&run.need));
     }
--- a/components/sched/src/list.rs
+++ b/components/sched/src/worker_list.rs
@@ -9,20 +9,20 @@
 use work::{Life, Record, WorkerId};
 
 use crate::engine::{Action, Clock, Engine};
-use crate::loss::{EndedWorker, WorkerEndReason};
-use crate::restore::unlisted;
+use crate::lost_runs::{EndedWorker, WorkerEndReason};
+use crate::restore::unlisted_info;
 use crate::worker::{Worker, WorkerInfo};
 
 /// What an entry says of the workers that are known.
-enum Entry {
+enum ListEntry {
     /// It is that of a life that isn't known yet.
     New,
     /// It is that of this life.
-    Of(WorkerId),
+    Known(WorkerId),
     /// It is older than what is known of this life, and changes nothing.
-    Late(WorkerId),
+    Stale(WorkerId),
     /// It tells when this life was born, which wasn't known.
-    Born(WorkerId),
+    BirthLearnt(WorkerId),
 }
 
 impl Engine {
@@ -31,11 +31,11 @@
         self.superseded.retain(|id| listed.contains_key(id));
         let mut present = BTreeMap::new();
         for (id, info) in listed {
-            match self.entry(&id) {
-                Entry::New => present.insert(id, Some(info)),
-                Entry::Of(known) => present.insert(known, Some(info)),
-                Entry::Late(known) => present.insert(known, None),
-                Entry::Born(known) => {
+            match self.classify_entry(&id) {
+                ListEntry::New => present.insert(id, Some(info)),
+                ListEntry::Known(known) => present.insert(known, Some(info)),
+                ListEntry::Stale(known) => present.insert(known, None),
+                ListEntry::BirthLearnt(known) => {
                     self.rename(clock, &known, &id);
                     present.insert(id, Some(info))
                 }
@@ -45,19 +45,19 @@
     }
 
     /// What an entry under this id says of the workers that are known.
-    fn entry(&self, id: &str) -> Entry {
-        let Some(known) = self.namesake(id) else { return Entry::New };
+    fn classify_entry(&self, id: &str) -> ListEntry {
+        let Some(known) = self.latest_life(id) else { return ListEntry::New };
         match (Life::of(id).born, Life::of(&known).born) {
-            _ if self.superseded.contains(id) => Entry::Late(known),
-            (Some(born), Some(latest)) if born < latest => Entry::Late(known),
-            (Some(born), Some(latest)) if born > latest => Entry::New,
-            (Some(_), None) => Entry::Born(known),
-            _ => Entry::Of(known),
+            _ if self.superseded.contains(id) => ListEntry::Stale(known),
+            (Some(born), Some(latest)) if born < latest => ListEntry::Stale(known),
+            (Some(born), Some(latest)) if born > latest => ListEntry::New,
+            (Some(_), None) => ListEntry::BirthLearnt(known),
+            _ => ListEntry::Known(known),
         }
     }
 
     /// The newest known life of the worker that an id names.
-    pub(crate) fn namesake(&self, id: &str) -> Option<WorkerId> {
+    pub(crate) fn latest_life(&self, id: &str) -> Option<WorkerId> {
         let name = Life::of(id).name;
         let first = Life { name, born: Some(0) }.id();
         let born = self.workers.range(first..).map(|(id, _)| id);
@@ -70,27 +70,27 @@
     fn take_list(&mut self, clock: Clock, present: BTreeMap<WorkerId, Option<WorkerInfo>>) {
         for (id, worker) in &mut self.workers {
             match present.contains_key(id) {
-                true => worker.missing = None,
+                true => worker.unlisted_since = None,
                 false => {
-                    worker.missing.get_or_insert(clock.now);
+                    worker.unlisted_since.get_or_insert(clock.now);
                 }
             }
         }
         let followed = self.followed(&present);
         let former: BTreeSet<WorkerId> = present
             .iter()
-            .filter(|(id, info)| info.as_ref().is_some_and(|info| self.is_former(id, info)))
+            .filter(|(id, info)| info.as_ref().is_some_and(|info| self.is_former_life(id, info)))
             .map(|(id, _)| id.clone())
             .collect();
         for (id, info) in present {
             let Some(info) = info.filter(|_| !former.contains(&id)) else { continue };
             // The entry of a dead worker stays until three signs of life are missed: it would be recorded and found gone with each read.
-            let follows = self.namesake(&id).is_some();
+            let follows = self.latest_life(&id).is_some();
             if !self.superseded.contains(&id) && (follows || self.has_pool(&info.pool)) {
-                self.enlist(clock, id, info);
+                self.add_or_update_worker(clock, id, info);
             }
         }
-        followed.iter().for_each(|id| self.gone(clock, id, WorkerEndReason::Followed));
+        followed.iter().for_each(|id| self.end_worker(clock, id, WorkerEndReason::Followed));
     }
 
     /// Lives without an entry that a later life under their name, or at their address, has followed.
@@ -120,7 +120,7 @@
     }
 
     /// Whether an entry is that of a life that was known to be over before another one was found at its address.
-    fn is_former(&self, id: &str, info: &WorkerInfo) -> bool {
+    fn is_former_life(&self, id: &str, info: &WorkerInfo) -> bool {
         let held = || self.workers.iter().rev().find(|(_, worker)| worker.info.address == info.address);
         self.departed.contains(id) && held().is_some_and(|(other, _)| other != id)
     }
@@ -131,9 +131,9 @@
     }
 
     /// Takes in one worker of the list.
-    fn enlist(&mut self, clock: Clock, id: WorkerId, info: WorkerInfo) {
+    fn add_or_update_worker(&mut self, clock: Clock, id: WorkerId, info: WorkerInfo) {
         if let Some(worker) = self.workers.get_mut(&id) {
-            worker.missing = None;
+            worker.unlisted_since = None;
             // A worker that is leaving never stays after all.
             let info = WorkerInfo { draining: worker.info.draining || info.draining, ..info };
             if *worker.info != info {
@@ -152,27 +152,27 @@
     }
 
     /// A worker's life is over: nothing runs there. That is held against the tasks that were there before anything of them starts again.
-    pub(crate) fn gone(&mut self, clock: Clock, id: &str, reason: WorkerEndReason) {
+    pub(crate) fn end_worker(&mut self, clock: Clock, id: &str, reason: WorkerEndReason) {
         let Some(worker) = self.workers.get_mut(id) else { return };
-        let (heard, draining) = (worker.heard, worker.info.draining);
-        let silent = clock.now.saturating_sub(heard);
-        let mut runs = std::mem::take(&mut worker.left);
-        self.undoubt(&runs);
-        runs.extend(self.losses(id, heard));
-        let next = self.namesake(id).filter(|next| next != id);
+        let (last_heard, draining) = (worker.last_heard, worker.info.draining);
+        let silent = clock.now.saturating_sub(last_heard);
+        let mut runs = std::mem::take(&mut worker.possibly_lost);
+        self.remove_silent(&runs);
+        runs.extend(self.losses(id, last_heard));
+        let next = self.latest_life(id).filter(|next| next != id);
         let mut ended = EndedWorker { worker: id.to_owned(), reason, silent, draining, runs, next: next.clone() };
-        let unsettled = self.unsettled(id);
-        self.vacate(clock, id);
-        let spent = self.hold_against(&mut ended);
+        let unsettled_runs = self.unsettled_runs(id);
+        self.free_all_runs(clock, id);
+        let exhausted = self.attribute_end(&mut ended);
         self.ended_workers.push(ended);
         self.workers.remove(id);
         self.departed.insert(id.to_owned());
         if let Some(next) = &next {
-            self.hand_over(id, next, unsettled);
+            self.hand_over(id, next, unsettled_runs);
         }
         self.record(Record::Gone { id: id.to_owned() });
         self.actions.push(Action::Forget(id.to_owned()));
-        self.give_up(clock, spent);
+        self.fail_jobs(clock, exhausted);
     }
 
     /// Another life is at the worker's address; `next` is its id if it goes by the same name. That one's entry may be still to come: until
@@ -181,9 +181,9 @@
         let Some(worker) = self.workers.get(id) else { return };
         let address = worker.info.address.clone();
         if let Some(next) = next.filter(|next| !self.workers.contains_key(next)) {
-            self.record_worker(clock, next, WorkerInfo { address, ..unlisted() });
+            self.record_worker(clock, next, WorkerInfo { address, ..unlisted_info() });
         }
-        self.gone(clock, id, WorkerEndReason::Replaced);
+        self.end_worker(clock, id, WorkerEndReason::Replaced);
         self.superseded.insert(id.to_owned());
     }
 }
