--- a/components/entry/src/reign/agent.rs
+++ b/components/entry/src/reign/agent.rs
@@ -232,7 +232,7 @@
         }
         self.lapsed = false;
         let known = self.reign.seat.lock().last.is_some();
-        let follows = self.reign.engine.lock().follows_earlier_life(&self.target.id);
+        let follows = self.reign.engine.lock().follows_earlier_incarnation(&self.target.id);
         self.lease.lock().observe_clock(
             clock,
             host.started.elapsed(),
--- a/components/sched/src/engine.rs
+++ b/components/sched/src/engine.rs
@@ -1,4 +1,4 @@
-//! The book of one leader: jobs, workers, and what is owed to the log.
+//! The state of one leader: jobs, workers, and the records that aren't written to the log yet.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
@@ -25,137 +25,137 @@
 /// The time of an event.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Clock {
-    /// Steady time since the process started.
+    /// Monotonic time since the process started.
     pub now: Duration,
-    /// Time of day, since 1970. Only due times are compared with it.
+    /// Wall-clock time since 1970. It is only compared with the due times of scheduled jobs.
     pub wall: Duration,
 }
 
 /// An order to start a run.
 #[derive(Clone, Debug)]
 pub struct Start {
-    /// The task.
     pub task: Task,
-    /// The run.
     pub attempt: Attempt,
-    /// The job, with the text for the worker.
+    /// The job, including the specification that is sent to the worker.
     pub job: Arc<Job>,
-    /// Checkpoint to go on from; empty for none.
+    /// Checkpoint to resume from; empty for none.
     pub saved: String,
-    /// Permission of the adviser, where the queue has one.
+    /// The adviser's permission, if the queue has an adviser.
     pub ticket: Option<String>,
 }
 
-/// What is to be done outside.
+/// An action that the caller has to carry out.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Start a run on a worker.
     Start(WorkerId, Start),
-    /// Stop a run on a worker; repeated until it is answered or the worker lapses.
+    /// Stop a run on a worker. Repeated until it is answered or the worker's leases have expired.
     Stop(WorkerId, Task, Attempt),
-    /// Ask the adviser who may run a unit.
+    /// Ask the adviser which workers may run a unit.
     Ask(Question),
-    /// A worker's life is over; nothing more is to be sent to it.
+    /// An incarnation of a worker has ended; nothing more is sent to it.
     Forget(WorkerId),
 }
 
-/// Where a job belongs.
+/// The queue and workspace that a job belongs to.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Owner {
-    /// Its queue.
     pub queue: QueueName,
-    /// Whose it is; none where the queue was public.
+    /// `None` if the queue is public.
     pub workspace: Option<WorkspaceName>,
 }
 
 impl Owner {
-    /// That of a job in a queue that needs no key.
+    /// The owner of a job in a public queue, which needs no API key.
     pub fn public(queue: &str) -> Owner {
         Owner { queue: queue.to_owned(), workspace: None }
     }
 }
 
-/// A job that has ended.
+/// A summary of an ended job.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Summary {
-    /// Its queue.
     pub queue: QueueName,
-    /// From its acceptance to its end.
+    /// Time from acceptance to end.
     pub took: Duration,
-    /// How long it should take at most, by its caller's estimates.
+    /// Target for that time, derived from the caller's estimates.
     pub objective: Duration,
 }
 
-/// Renewals of idle workers in a second, all together: a small part of a leader's processor.
+/// Upper bound on lease renewals per second for all idle workers together. It keeps them a small part of the leader's
+/// CPU time.
 const IDLE_RENEWALS_PER_SECOND: f64 = 500.0;
-/// Renewals of busy workers in a second, all together, besides those that an end brings about.
+/// Upper bound on lease renewals per second for all busy workers together, not counting renewals that are sent
+/// because a run ended.
 const BUSY_RENEWALS_PER_SECOND: f64 = 500.0;
-/// Longest time between two renewals of a busy worker: a lease of 7 s then outlasts a cut of 5 s, and no worker keeps an answer
-/// waiting for longer.
+/// Longest interval between two renewals of a busy worker. A lease of 7 s then survives a network partition of 5 s,
+/// and no worker delays its answer for longer than this.
 const MAX_BUSY_PAUSE: Duration = Duration::from_secs(2);
-/// Time between two renewals of a busy worker on small fleets: a cut of 5.5 s must leave a lease of 6 s alive. The bounds of silence
-/// and standstill reckon with it.
+/// Interval between two renewals of a busy worker on small fleets: a lease of 6 s must survive a network partition of
+/// 5.5 s. The timeouts for silent and stuck workers are based on it.
 pub const RENEWAL_INTERVAL: Duration = Duration::from_millis(400);
-/// Attempts of one task in one reign; a term's attempts are all above those of the terms before.
+/// Attempt numbers reserved for each task in one term, so that the numbers of a term are above those of all earlier
+/// terms.
 const ATTEMPTS_PER_TERM: u64 = 1000;
 
-/// The leader's book and decisions.
+/// The scheduler's state and decisions during one term of a leader.
 pub struct Engine {
     pub(crate) limits: Limits,
     pub(crate) term: Term,
-    /// When this reign began, on the steady clock.
+    /// Start of this term, in monotonic time.
     pub(crate) term_start: Duration,
-    /// How long after the reign began the leader before may still have given leases.
+    /// How long after the start of this term the previous leader may still have granted leases.
     pub(crate) predecessor_active: Duration,
     pub(crate) config: Arc<Config>,
-    /// Whether it came since the last pass: attempts may have been used up before it was known.
+    /// Whether the configuration changed since the last pass. A job may have used up its attempts before its queue's
+    /// limit was known.
     pub(crate) reconfigured: bool,
-    /// Its queues by name.
+    /// Queues of the configuration, by name.
     pub(crate) queues: HashMap<QueueName, Arc<Queue>>,
-    /// The lowest number among the priorities of each pool's queues.
+    /// The lowest priority number among the queues of each pool.
     pub(crate) most_urgent: HashMap<String, u32>,
     pub(crate) workers: BTreeMap<WorkerId, Worker>,
-    /// Workers that are known to be gone.
+    /// Workers that are known to have ended.
     pub(crate) departed: BTreeSet<WorkerId>,
-    /// Of these, those at whose address another life has answered, while the list still shows them.
+    /// Those of `departed` that were replaced at their address while the platform's list still shows them.
     pub(crate) superseded: BTreeSet<WorkerId>,
     pub(crate) jobs: HashMap<JobId, Entry>,
     /// Jobs that haven't ended.
     pub(crate) live: BTreeSet<JobId>,
-    /// Whether everything that earlier leaders started is known or has surely ended.
+    /// Whether everything that earlier leaders started is known or has certainly ended.
     pub(crate) settled: bool,
     pub(crate) shares: Shares,
-    /// How long starts take from their decision to the worker's answer.
+    /// Time from the decision to start a run to the worker's answer.
     pub(crate) start_latency: Latency,
-    /// Hosts that are free to ask the adviser a long question.
+    /// Number of hosts that are free to ask the adviser a long question.
     pub(crate) askers: usize,
-    /// Room that could be made for gangs, by their priority.
+    /// Room that preemption could free for gangs, by priority of the gang's queue.
     pub(crate) reclaimable: HashMap<u32, Reclaimable>,
-    /// Limits of workspaces, and what is used of them.
+    /// Limits and usage of workspaces.
     pub(crate) quota: Quota,
-    /// The room of the last pass, which the next one brings up to date.
+    /// Free room as of the last pass, which the next pass updates.
     pub(crate) room: Room,
     pub(crate) actions: Vec<Action>,
-    /// Room that was made and isn't logged yet.
+    /// Preemptions that aren't logged yet.
     pub(crate) preemptions: Vec<Preemption>,
-    /// Jobs of which nothing runs; see [`crate::stall`].
+    /// Jobs without a listed run; see [`crate::stall`].
     pub(crate) idle_since: BTreeMap<JobId, Idle>,
-    /// Workers whose end isn't logged yet.
+    /// Ended workers that aren't logged yet.
     pub(crate) ended_workers: Vec<EndedWorker>,
     /// Starts whose records aren't durable yet, by position.
     pub(crate) unsent_starts: VecDeque<(u64, WorkerId, Start)>,
-    /// Records that the log hasn't taken yet, by position.
+    /// Records that weren't handed to the log yet, by position.
     pub(crate) records: VecDeque<(u64, Record)>,
-    /// Position of the newest record; positions count from 1 in each reign.
+    /// Position of the newest record. Positions count from 1 in each term.
     pub(crate) position: u64,
-    /// Highest position that is in the store.
+    /// Highest position that is durable in the store.
     pub(crate) durable: u64,
-    /// Settled orders so far; see [`Engine::mark`].
+    /// Number of orders that were answered so far; see [`Engine::mark`].
     mark: u64,
 }
 
 impl Engine {
-    /// Starts an empty book.
+    /// Creates an engine without jobs and workers.
     pub fn new(limits: Limits, term: Term, config: Arc<Config>, now: Duration) -> Engine {
         let mut quota = Quota::default();
         quota.configure(&config);
@@ -192,17 +192,17 @@
         }
     }
 
-    /// Nothing is known of the leader before: it may be of a version that gives longer leases.
+    /// Records that nothing is known of the previous leader: it may run a version that grants longer leases.
     pub fn predecessor_unknown(&mut self) {
         self.predecessor_active = AUTHORITY_TIMEOUT + self.limits.longer_before();
     }
 
-    /// The leader before gives no leases any more, as is known since `now`.
+    /// Records that the previous leader has granted no leases since `now`.
     pub fn predecessor_ended(&mut self, now: Duration) {
         self.predecessor_active = self.predecessor_active.min(now.saturating_sub(self.term_start));
     }
 
-    /// Takes a newer configuration.
+    /// Applies a configuration, if it is newer than the current one.
     pub fn configure(&mut self, config: Arc<Config>) {
         if config.version > self.config.version {
             self.queues = by_name(&config);
@@ -213,55 +213,57 @@
         }
     }
 
-    /// How long the renewals of a worker on which nothing runs may be apart: there is no lease to prolong, and all of them
-    /// together must not take the leader's time.
+    /// Interval between renewals of an idle worker. It has no lease to prolong, and the renewals of all idle workers
+    /// together must not use up the leader's CPU time.
     pub fn idle_pause(&self) -> Duration {
         Duration::from_secs_f64(self.workers.len() as f64 / IDLE_RENEWALS_PER_SECOND)
     }
 
-    /// How long the renewals of a worker on which something runs may be apart, at least as long as usual.
+    /// Interval between renewals of a busy worker, at least [`RENEWAL_INTERVAL`].
     pub fn busy_pause(&self) -> Duration {
         let busy = self.workers.values().filter(|worker| !worker.runs.is_empty()).count();
         Duration::from_secs_f64(busy as f64 / BUSY_RENEWALS_PER_SECOND).clamp(RENEWAL_INTERVAL, MAX_BUSY_PAUSE)
     }
 
-    /// How far apart renewals are, beyond what the bounds of silence and standstill reckon with.
+    /// By how much the renewal intervals exceed those that the timeouts for silent and stuck workers are based on.
     pub(crate) fn pauses(&self) -> Pauses {
         Pauses { idle: self.idle_pause(), busy: self.busy_pause() - RENEWAL_INTERVAL }
     }
 
-    /// Whether nothing runs on a worker, as far as is known.
+    /// Whether a worker has no known runs.
     pub fn is_worker_idle(&self, worker: &str) -> bool {
         self.workers.get(worker).is_none_or(|worker| worker.runs.is_empty())
     }
 
-    /// Workers to renew: id and address.
+    /// Ids and addresses of the workers whose leases are to be renewed.
     pub fn addresses(&self) -> Vec<(WorkerId, String)> {
         self.workers.iter().map(|(id, worker)| (id.clone(), worker.info.address.clone())).collect()
     }
 
-    /// The highest end of a worker that may be acknowledged.
+    /// The highest end number of a worker that may be acknowledged.
     pub fn acked(&self, worker: &str) -> u64 {
         self.workers.get(worker).map_or(0, |worker| worker.acked)
     }
 
-    /// The highest end of a worker that was taken in, acknowledged or not.
+    /// The highest end number of a worker that was processed, acknowledged or not.
     pub fn taken(&self, worker: &str) -> u64 {
         self.workers.get(worker).map_or(0, |worker| worker.taken)
     }
 
-    /// Counts settled orders: a report whose renewal was sent at this mark shows what was settled before.
+    /// The number of answered orders. A report shows the effect of every order that was answered at or before the
+    /// mark at which its renewal was sent.
     pub fn mark(&self) -> u64 {
         self.mark
     }
 
-    /// Counts an order as settled.
+    /// Counts an order as answered.
     pub(crate) fn next_mark(&mut self) -> u64 {
         self.mark += 1;
         self.mark
     }
 
-    /// Accepts a job; it counts once the returned position is durable. A known id stays the job that it is.
+    /// Accepts a job, which is in effect once the returned position is durable. A job with a known id is left
+    /// unchanged.
     pub fn accept(&mut self, clock: Clock, id: JobId, owner: Owner, job: Job) -> u64 {
         if self.jobs.contains_key(&id) {
             return self.accepted_position(id);
@@ -274,7 +276,7 @@
         position
     }
 
-    /// Puts a job into the book, without a record.
+    /// Adds a job without writing a record.
     pub(crate) fn insert(&mut self, id: JobId, owner: Owner, job: Arc<Job>, accepted: Accepted) {
         let units = BTreeMap::new();
         let workspace = owner.workspace.map(|name| self.quota.index(&name));
@@ -288,12 +290,12 @@
         self.jobs.get(&id).map_or(0, |entry| entry.accepted.position)
     }
 
-    /// How long a job of a queue should take at most, by its caller's estimates.
+    /// Target for the time from acceptance to end of a job in a queue, derived from the caller's estimates.
     pub fn objective(&self, queue: &str, job: &Job) -> Duration {
         self.queues.get(queue).map_or(Duration::ZERO, |queue| objective(job, queue))
     }
 
-    /// The state of a job, when it is known.
+    /// The state of a job; `None` for an unknown one.
     pub fn state(&self, id: JobId) -> Option<State> {
         let entry = self.jobs.get(&id)?;
         match entry.outcome {
@@ -303,13 +305,14 @@
         }
     }
 
-    /// Accepted jobs of a queue none of whose tasks has begun.
+    /// Number of accepted, unscheduled jobs of a queue none of whose tasks has started.
     pub fn waiting(&self, queue: &str) -> usize {
         let waits = |entry: &&Entry| entry.queue == queue && self.waits(entry) && entry.job.schedule.is_none();
         self.live.iter().filter_map(|id| self.jobs.get(id)).filter(waits).count()
     }
 
-    /// Whether none of a job's tasks has begun, as far as is known. One that an earlier leader placed may never have been started.
+    /// Whether none of a job's tasks is known to have started. A task that an earlier leader placed may never have
+    /// been sent to its worker.
     pub(crate) fn waits(&self, entry: &Entry) -> bool {
         match entry.begun {
             Begun::No => true,
@@ -318,12 +321,12 @@
         }
     }
 
-    /// Takes the orders and questions that have come up.
+    /// Takes the pending actions.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Ends a job. Returns the position whose durability makes the end count.
+    /// Ends a job. The end is in effect once the returned position is durable.
     pub(crate) fn end(&mut self, clock: Clock, id: JobId, outcome: Outcome) -> u64 {
         let workspace = self.workspace(id).cloned();
         let position = self.record(Record::Ended { id, outcome, workspace });
@@ -347,19 +350,19 @@
         self.jobs.get(&unit.job)?.units.get(&(unit.round, unit.step))
     }
 
-    /// The next attempt number of a task or, with `starts` of its gang, of a gang.
+    /// The next attempt number, given the number of starts of a task or of a gang in this term.
     pub(crate) fn attempt(&self, starts: u64) -> Attempt {
         (self.term - 1) * ATTEMPTS_PER_TERM + starts + 1
     }
 
-    /// A worker's leases have surely run out.
+    /// Processes that all leases of a worker have certainly expired.
     pub fn leases_expired(&mut self, clock: Clock, id: &str) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         worker.contact = Contact::Lapsed;
         if worker.unlisted_since.is_some() {
             return self.end_worker(clock, id, WorkerEndReason::Unlisted);
         }
-        // It may turn out to have ended then.
+        // The worker may turn out to have ended; these runs then count as lost.
         let last_heard = worker.last_heard;
         let lost = self.losses(id, last_heard);
         self.add_silent(&lost);
@@ -369,7 +372,7 @@
         self.free_all_runs(clock, id);
     }
 
-    /// Frees the tasks of all runs on a worker.
+    /// Returns the tasks of all runs on a worker to the queue.
     pub(crate) fn free_all_runs(&mut self, clock: Clock, id: &str) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         let runs = std::mem::take(&mut worker.runs);
@@ -379,7 +382,8 @@
         }
     }
 
-    /// A run has ended without its task being done: the task waits again, if this was its run.
+    /// Returns a task to the queue after a run ended without completing it, unless another run has taken over the
+    /// task.
     pub(crate) fn free_task(&mut self, _clock: Clock, task: Task, worker: &str, attempt: Attempt) {
         let Some(unit) = self.unit_mut(task.unit) else { return };
         let index = task.index as usize;
@@ -389,13 +393,13 @@
         }
     }
 
-    /// Forgets ended jobs whose state need not be told any more.
+    /// Drops ended jobs whose retention time is over.
     pub fn forget_ended_jobs(&mut self, now: Duration) {
         let keep = self.limits.keep_ended;
         self.jobs.retain(|_, entry| entry.outcome.is_none_or(|ended| now.saturating_sub(ended.at) < keep));
     }
 
-    /// What is to be said of a job that has ended.
+    /// A summary of a job that has ended.
     pub fn summary(&self, id: JobId) -> Option<Summary> {
         let entry = self.jobs.get(&id)?;
         let ended = entry.outcome?;
@@ -406,24 +410,24 @@
         })
     }
 
-    /// Numbers of jobs that haven't ended, and of workers that are held.
+    /// Numbers of jobs that haven't ended, and of workers that have answered in this term and hold leases.
     pub fn sizes(&self) -> (usize, usize) {
         let held = self.workers.values().filter(|worker| worker.contact == Contact::Held).count();
         (self.live.len(), held)
     }
 
-    /// The workspace of a job that is kept; none where its queue was public.
+    /// The workspace of a known job; `None` if its queue was public.
     pub fn workspace(&self, id: JobId) -> Option<&WorkspaceName> {
         self.quota.name(self.jobs.get(&id)?.workspace?)
     }
 
-    /// Whether a job is still kept.
+    /// Whether a job is known.
     pub fn has_job(&self, id: JobId) -> bool {
         self.jobs.contains_key(&id)
     }
 }
 
-/// The priority of the most urgent queue of each pool.
+/// The lowest priority number, which is the most urgent one, of the queues of each pool.
 fn most_urgent(config: &Config) -> HashMap<String, u32> {
     let mut found: HashMap<String, u32> = HashMap::new();
     for queue in &config.queues {
@@ -433,7 +437,6 @@
     found
 }
 
-/// The queues of a configuration by their names.
 fn by_name(config: &Config) -> HashMap<QueueName, Arc<Queue>> {
     config.queues.iter().map(|queue| (queue.name.clone(), Arc::new(queue.clone()))).collect()
 }
--- a/components/sched/src/entry.rs
+++ b/components/sched/src/entry.rs
@@ -1,4 +1,4 @@
-//! Jobs in the book: which tasks wait, where the others are, and what was kept of their runs.
+//! State of jobs: which tasks are pending, where the others run, and their failed runs and checkpoints.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -12,34 +12,32 @@
 use crate::preempt::Claim;
 use crate::quota::WorkspaceIndex;
 
-/// Where a task stands.
+/// State of a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// It waits for a place.
+    /// It waits for a worker.
     Pending,
     /// A run of it is, or may be, on a worker.
     Held(WorkerId, Attempt),
-    /// It is done.
     Done,
 }
 
-/// A task.
 #[derive(Clone, Debug)]
 pub(crate) struct TaskState {
     pub phase: Phase,
     /// Runs that failed.
     pub failed: Vec<Attempt>,
-    /// Starts in this reign.
+    /// Number of starts in this term.
     pub starts: u64,
     /// Last checkpoint; empty for none.
     pub saved: String,
-    /// Workers that ended under it.
+    /// Worker ends that are attributed to the task.
     pub crashes: Vec<Crash>,
-    /// Silent workers that may have ended under it; see [`crate::crashes`].
+    /// Number of silent workers that may have ended because of the task; see [`crate::crashes`].
     pub silent: usize,
-    /// Where an earlier leader placed it last: it may run there until the opposite is known.
+    /// The last placement by an earlier leader. The task may still run there until the worker has answered.
     pub inherited: Option<Inherited>,
-    /// Where earlier leaders placed it before that, while the log is read.
+    /// Earlier placements by earlier leaders; filled only while the log is replayed.
     pub placed_before: Vec<Inherited>,
 }
 
@@ -47,11 +45,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Inherited {
     pub worker: WorkerId,
-    /// 0 where an earlier format didn't tell.
+    /// 0 if the record was written in an older format, which lacks the number.
     pub attempt: Attempt,
 }
 
-/// Where a run is, or may be.
+/// A run that is, or may be, on a worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Placement {
     pub worker: WorkerId,
@@ -63,25 +61,25 @@
 #[derive(Clone, Debug)]
 pub(crate) struct UnitState {
     pub tasks: Vec<TaskState>,
-    /// Tasks that wait for a place.
+    /// Number of tasks that wait for a worker.
     pub pending: usize,
-    /// Tasks that are done.
+    /// Number of tasks that are done.
     pub done: usize,
-    /// Runs of a gang that failed.
+    /// Failed runs of a gang.
     pub failed: Vec<Attempt>,
-    /// Starts of a gang in this reign.
+    /// Number of starts of a gang in this term.
     pub starts: u64,
-    /// A gang's last checkpoint.
+    /// Last checkpoint of a gang.
     pub saved: String,
-    /// Who may run it.
+    /// What the adviser said about the workers that may run it.
     pub advice: UnitAdvice,
-    /// Room that is being made for it.
+    /// Room that is being freed for it.
     pub claims: Vec<Claim>,
-    /// While many units wait, places for it aren't looked for before this time.
+    /// While many units wait, this one isn't tried again before this time.
     pub retry_at: Duration,
-    /// Until when places for suspects are looked for apart from others; `None` without suspects.
+    /// Until when suspect tasks are only placed apart from other new runs; `None` without suspects.
     pub isolated_until: Option<Duration>,
-    /// Room for all of a gang isn't put together before this time; see [`crate::assemble`].
+    /// Room for the whole gang isn't assembled again before this time; see [`crate::assemble`].
     pub assemble_at: Duration,
 }
 
@@ -113,24 +111,24 @@
         }
     }
 
-    /// Whether all its tasks are done.
+    /// Whether all tasks are done.
     pub(crate) fn is_complete(&self) -> bool {
         self.done == self.tasks.len()
     }
 
-    /// Tasks that are done once the task `index` is: all members of a gang, else that task alone.
+    /// Indices of the tasks that are done when the task `index` is: the whole gang, or only the task itself.
     pub(crate) fn done_with(&self, index: u32, gang: bool) -> Range<usize> {
         let index = index as usize;
         if gang { 0..self.tasks.len() } else { index..index + 1 }
     }
 
-    /// Failed runs that count against the task `index`: a gang counts them together. `None` without such a task.
+    /// Failed runs that count against the task `index`; a gang counts them together. `None` if there is no such task.
     pub(crate) fn failures_mut(&mut self, index: u32, gang: bool) -> Option<&mut Vec<Attempt>> {
         let task = self.tasks.get_mut(index as usize)?;
         Some(if gang { &mut self.failed } else { &mut task.failed })
     }
 
-    /// All its runs that are, or may be, on workers. `unit` is its name.
+    /// All runs of the unit that are, or may be, on workers.
     pub(crate) fn placements(&self, unit: Unit) -> impl Iterator<Item = Placement> + '_ {
         self.tasks.iter().zip(0..).filter_map(move |(task, index)| match &task.phase {
             Phase::Held(worker, attempt) => {
@@ -140,7 +138,7 @@
         })
     }
 
-    /// Moves a task to another phase, keeping the counts.
+    /// Moves a task to another phase and updates the counts.
     pub(crate) fn set_phase(&mut self, index: usize, phase: Phase) {
         let Some(task) = self.tasks.get_mut(index) else { return };
         task.inherited = None;
@@ -159,51 +157,51 @@
     }
 }
 
-/// A job that has been accepted.
+/// An accepted job.
 #[derive(Clone, Debug)]
 pub(crate) struct Entry {
     pub queue: QueueName,
-    /// Whose it is; none where its queue was public.
+    /// `None` if its queue was public.
     pub workspace: Option<WorkspaceIndex>,
     pub job: Arc<Job>,
-    /// When it was accepted, on this process's steady clock; earlier leaders' jobs may lie before its start.
+    /// Time of acceptance; for jobs that earlier leaders accepted it may precede the start of this process.
     pub accepted: Accepted,
-    /// Whether a task of it has begun.
+    /// Whether a task of the job has started.
     pub begun: Begun,
     pub outcome: Option<Ended>,
-    /// Units that have been opened, by round and step.
+    /// Units of the rounds that have been opened, by round and step.
     pub units: BTreeMap<(u32, u16), UnitState>,
-    /// Rounds opened so far.
+    /// Number of rounds that have been opened.
     pub opened: u32,
 }
 
-/// What is known of whether a task of a job has begun.
+/// What is known of whether a task of a job has started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Begun {
-    /// None has.
+    /// No task has started.
     No,
-    /// An earlier leader has placed some: they may have begun where nobody has answered yet.
+    /// An earlier leader placed tasks, which may have started on workers that haven't answered yet.
     Placed,
-    /// One has.
+    /// At least one task has started.
     Yes,
 }
 
-/// When a job was accepted.
+/// Time of a job's acceptance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Accepted {
-    /// By the steady clock of this process.
+    /// Monotonic time of this process.
     pub now: Duration,
-    /// Since 1970, by the accepting host's clock.
+    /// Time since 1970, by the clock of the accepting host.
     pub wall: Duration,
-    /// Position of its record: it runs once that is durable.
+    /// Position of the record. The job runs once it is durable.
     pub position: u64,
 }
 
-/// A job's end.
+/// End of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Ended {
     pub outcome: Outcome,
-    /// Position of its record: it is shown once that is durable.
+    /// Position of the record. The end is visible to callers once it is durable.
     pub position: u64,
     pub at: Duration,
 }
@@ -213,26 +211,26 @@
         self.job.steps.get(usize::from(step))
     }
 
-    /// Opens a round: its tasks wait from now on.
+    /// Opens a round: its tasks are pending from now on.
     pub(crate) fn open(&mut self, round: u32) {
         let units = self.job.steps.iter().zip(0..);
         self.units.extend(units.map(|(step, number)| ((round, number), UnitState::new(step))));
         self.opened = round + 1;
     }
 
-    /// Whether all steps that `step` waits for are done in `round`.
+    /// Whether all steps that `step` depends on are done in `round`.
     pub(crate) fn unblocked(&self, round: u32, step: u16) -> bool {
         let Some(described) = self.step(step) else { return false };
         described.after.iter().all(|on| self.units.get(&(round, *on)).is_some_and(UnitState::is_complete))
     }
 
-    /// Gives back the memory of what only a job that goes on needs: most jobs in the book have ended.
+    /// Frees the memory that only an unfinished job needs: most known jobs have ended.
     pub(crate) fn release_memory(&mut self) {
         Arc::make_mut(&mut self.job).specification = String::new();
         self.units.values_mut().for_each(|unit| unit.advice = UnitAdvice::default());
     }
 
-    /// Whether every task of every round is done. Lasting tasks never are.
+    /// Whether every task of every round is done, which is never the case for lasting tasks.
     pub(crate) fn is_complete(&self) -> bool {
         self.opened == self.job.rounds() && self.units.values().all(UnitState::is_complete)
     }
--- a/components/sched/src/handover.rs
+++ b/components/sched/src/handover.rs
@@ -57,7 +57,7 @@
             }
         }
         if let Some(worker) = self.workers.get_mut(next) {
-            worker.follows_earlier_life = true;
+            worker.follows_earlier_incarnation = true;
         }
         self.stop_handed_over(next);
         self.hand_over_inherited(id, next);
@@ -65,8 +65,8 @@
 
     /// Whether a worker's life follows another under its name. A lease that was meant for that one may have been given there, by the next
     /// life's clock: as long as workers take any.
-    pub fn follows_earlier_life(&self, id: &str) -> bool {
-        self.workers.get(id).is_some_and(|worker| worker.follows_earlier_life)
+    pub fn follows_earlier_incarnation(&self, id: &str) -> bool {
+        self.workers.get(id).is_some_and(|worker| worker.follows_earlier_incarnation)
     }
 
     /// Stops at a worker what was handed over to it, once it has answered: before that no order can be given.
--- a/components/sched/src/lib.rs
+++ b/components/sched/src/lib.rs
@@ -1,8 +1,8 @@
-//! The scheduler of callers' jobs: decisions without sockets and without a clock.
+//! The scheduler of jobs: a deterministic state machine without I/O and without a clock.
 //!
-//! Events go in with their time (reports of workers, outcomes of orders, accepted jobs, advice); orders, questions
-//! and records for the log come out. Nothing here waits or fails: what can't be decided now stays as it is until the
-//! next event.
+//! Inputs are events with their time (worker reports, outcomes of orders, accepted jobs, advice). Outputs are orders
+//! to workers, questions to the adviser and records for the log. Nothing blocks or fails: a decision that can't be
+//! made yet is tried again at the next event.
 
 mod advice;
 mod assemble;
--- a/components/sched/src/place.rs
+++ b/components/sched/src/place.rs
@@ -68,8 +68,9 @@
     /// Workers that have never answered and that nobody lists any more, and whose leases have run out: those of earlier reigns have, by now.
     fn drop_unseen(&mut self, clock: Clock) {
         let longest = self.limits.longest_lease();
-        let over =
-            |worker: &Worker| !worker.follows_earlier_life || clock.now.saturating_sub(worker.last_heard) > longest;
+        let over = |worker: &Worker| {
+            !worker.follows_earlier_incarnation || clock.now.saturating_sub(worker.last_heard) > longest
+        };
         let unseen =
             |worker: &Worker| worker.contact == Contact::Unknown && worker.unlisted_since.is_some() && over(worker);
         let ids: Vec<WorkerId> =
--- a/components/sched/src/restart.rs
+++ b/components/sched/src/restart.rs
@@ -46,7 +46,7 @@
         let exhausted = self.attribute_end(&mut ended);
         self.ended_workers.push(ended);
         if let Some(worker) = self.workers.get_mut(id) {
-            worker.reset_for_new_life();
+            worker.reset_for_new_incarnation();
         }
         self.fail_jobs(clock, exhausted);
         true
@@ -68,7 +68,7 @@
     }
 
     /// Forgets what doesn't hold for a next life: the numbers of its ends begin again, and it has neither failed nor left anything unanswered.
-    fn reset_for_new_life(&mut self) {
+    fn reset_for_new_incarnation(&mut self) {
         self.taken = 0;
         self.acked = 0;
         self.pending.clear();
--- a/components/sched/src/worker.rs
+++ b/components/sched/src/worker.rs
@@ -10,62 +10,61 @@
 use crate::lost_runs::LostRun;
 use crate::quota::Charge;
 
-/// A worker that is missing in the list is used this much longer, if it answers: its entry may be on its way back.
+/// How long a worker that answers is still used after it disappeared from the platform's list: its entry may come
+/// back.
 const LIST_GRACE: Duration = Duration::from_millis(2500);
-/// How long a worker is avoided after the first trouble: about as long as a passing disturbance.
+/// How long a worker is avoided after the first problem: about as long as a transient disturbance lasts.
 const FIRST_PAUSE: Duration = Duration::from_secs(1);
-/// The pause grows up to 8 s; then the worker is tried again.
+/// The pause doubles up to 8 s.
 const MAX_PAUSE_DOUBLINGS: u32 = 3;
-/// Failures in a row, of any tasks, after which a worker is avoided.
+/// Consecutive failed runs, of any tasks, after which a worker is avoided.
 pub(crate) const MAX_CONSECUTIVE_FAILURES: u32 = 3;
-/// After its pause a worker is on trial for so long, unless a task is done there. Without an end to it a gang that needs every
-/// worker waited for ever, once all single tasks were done.
+/// How long a worker is on probation after its pause, unless a task completes there first. Without this limit a gang
+/// that needs every worker would wait forever once all single tasks are done.
 const PROBATION: Duration = Duration::from_secs(10);
-/// The progress of a run rises at least this often: a hundredth of the longest ones, of 16 s, takes 0.16 s, and reports come
-/// every 0.4 s. Where they come more rarely it is longer by that.
+/// A run counts as stuck if its progress doesn't change for this long. The longest runs, of 16 s, progress by one
+/// percent every 0.16 s, and reports come every 0.4 s; the timeout is extended when they come less often.
 const NO_PROGRESS_TIMEOUT: Duration = Duration::from_millis(1200);
-/// A run that is listed so long after it began doesn't take its worker down by beginning: ten times what that takes.
+/// A run that is still listed this long after its start isn't suspected of crashing its worker at startup; such a
+/// crash takes a tenth of this.
 const STARTUP_WINDOW: Duration = Duration::from_millis(100);
-/// A worker that hasn't answered for so long gets no new work: three renewals have failed. Where renewals are further apart it is
-/// longer by that.
+/// A worker that hasn't answered for this long gets no new work: three renewals have failed. The timeout is extended
+/// when renewals are less frequent.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// What a worker says of itself in the platform's list.
+/// A worker's entry in the platform's list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerInfo {
-    /// Where it takes orders: address and port.
+    /// Address and port that accept orders.
     pub address: String,
-    /// Pool that it belongs to.
     pub pool: String,
     /// Data centre.
     pub zone: String,
-    /// Labels: its kind first, its rack last.
+    /// Labels: the worker's type first, its rack last.
     pub labels: Vec<String>,
-    /// What it offers.
+    /// Resources that it offers.
     pub capacity: Resources,
-    /// Whether it is about to leave.
+    /// Whether it has announced that it will shut down.
     pub draining: bool,
-    /// Whether its data centre is being evacuated: nothing new is sent there until that is taken back.
+    /// Whether its data centre is being evacuated: no new work is sent there until the evacuation is revoked.
     pub evacuated: bool,
 }
 
 impl WorkerInfo {
-    /// Whether it may get new work, as far as it goes by the platform's list.
+    /// Whether the platform's list lets it get new work.
     pub(crate) fn is_open(&self) -> bool {
         !self.draining && !self.evacuated
     }
 }
 
-/// A run that a worker lists as running.
+/// A run that a worker reports as running.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Running {
-    /// The task.
     pub task: Task,
-    /// The run.
     pub attempt: Attempt,
     /// Its last checkpoint; empty for none.
     pub saved: String,
-    /// Its progress, in percent.
+    /// Progress in percent.
     pub percent: u8,
 }
 
@@ -74,15 +73,15 @@
 pub enum RunOutcome {
     /// The task is done.
     Done,
-    /// It failed, by its own fault or the worker's.
+    /// It failed, because of the task or of the worker.
     Failed,
-    /// It was stopped.
+    /// It was stopped by an order.
     Stopped,
-    /// Its lease ran out.
+    /// Its lease expired.
     Lapsed,
     /// Another member of its gang ended.
     Broken,
-    /// The other members of its gang didn't come in time.
+    /// The other members of its gang didn't arrive in time.
     Alone,
 }
 
@@ -100,34 +99,32 @@
     }
 }
 
-/// An end that a worker lists until it is acknowledged.
+/// The end of a run, which a worker reports until it is acknowledged.
 #[derive(Clone, Debug, PartialEq)]
 pub struct End {
-    /// Rises from 1 in each life of a worker.
+    /// Sequence number, counting from 1 in each incarnation of the worker.
     pub number: u64,
-    /// The task.
     pub task: Task,
-    /// The run.
     pub attempt: Attempt,
-    /// How it ended.
     pub how: RunOutcome,
     /// Its last checkpoint; empty for none.
     pub saved: String,
 }
 
-/// What a worker answers to a renewal of its leases.
+/// A worker's answer to the renewal of its leases.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
-    /// [`crate::Engine::mark`] when the renewal was sent: what was settled before must show.
+    /// [`crate::Engine::mark`] when the renewal was sent. Orders that were answered before must be reflected in the
+    /// report.
     pub mark: u64,
-    /// All that runs there.
+    /// All running runs.
     pub running: Vec<Running>,
-    /// Ends not acknowledged yet, in the order of their numbers.
+    /// Ends that aren't acknowledged yet, by sequence number.
     pub ended: Vec<End>,
 }
 
 impl Report {
-    /// Runs that it tells of, running or ended.
+    /// All runs in the report, running or ended.
     pub(crate) fn listed(&self) -> BTreeSet<(Task, Attempt)> {
         let running = self.running.iter().map(|row| (row.task, row.attempt));
         let ended = self.ended.iter().map(|end| (end.task, end.attempt));
@@ -140,102 +137,102 @@
 pub(crate) enum Phase {
     /// The start was sent.
     Starting,
-    /// The worker confirmed it, at this mark.
+    /// The worker confirmed the start, at this mark.
     Running(u64),
-    /// A stop is on its way; what the start did doesn't matter any more.
+    /// A stop was ordered; the answer to the start no longer matters.
     Stopping,
-    /// The worker took the stop, at this mark.
+    /// The worker confirmed the stop, at this mark.
     Stopped(u64),
 }
 
-/// A run that is, or may be, on a worker. It takes room until its end is certain.
+/// A run that is, or may be, on a worker. It takes room until it has certainly ended.
 #[derive(Clone, Debug)]
 pub(crate) struct Run {
     pub phase: Phase,
     pub need: Resources,
-    /// What it takes of its workspace's limit.
+    /// What it counts against its workspace's limit.
     pub charge: Option<Charge>,
-    /// Priority of its queue, if it may be stopped for a more urgent one: it goes on from a checkpoint.
+    /// Priority of its queue, if the run may be preempted because it resumes from a checkpoint.
     pub stoppable: Option<u32>,
     pub percent: u8,
-    /// When the percentage last rose.
+    /// When the reported progress last changed.
     pub progressed_at: Duration,
-    /// When it was decided on, or found there.
+    /// When the start was decided, or when the run was first seen on the worker.
     pub decided_at: Duration,
-    /// When the worker answered its start, or first listed it.
+    /// When the worker confirmed the start, or first listed the run.
     pub begun: Option<Duration>,
-    /// Whether the worker has listed it: an answer to its start may be that of the worker's next life.
+    /// Whether the worker has listed it. A mere answer to its start may come from the worker's next incarnation.
     pub listed: bool,
-    /// Whether the worker has listed it when it had run for a moment.
+    /// Whether the worker has listed it at least [`STARTUP_WINDOW`] after its start.
     pub seen_running: bool,
-    /// Whether its task may take the worker down; see [`crate::crashes`].
+    /// Whether its task is suspected of crashing its workers; see [`crate::crashes`].
     pub suspect: bool,
 }
 
-/// Whether orders can be given.
+/// Whether orders can be sent to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Contact {
-    /// It hasn't answered in this reign: an earlier leader may have started anything there.
+    /// It hasn't answered in this term: an earlier leader may have started anything there.
     Unknown,
-    /// It has answered under this reign's term, so that no earlier leader's orders are taken any more.
+    /// It has answered in this term, so that it refuses orders of earlier leaders.
     Held,
-    /// It hasn't answered for so long that its leases have run out. Nothing runs there.
+    /// It hasn't answered for so long that its leases have expired. Nothing runs there.
     Lapsed,
 }
 
-/// How little is to be expected of a worker; the less the better.
+/// Health of a worker, best first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Health {
-    /// Nothing speaks against it.
+    /// No known problem.
     Good,
-    /// Its last run failed, or nothing moves there.
+    /// Its last run failed, or none of its runs progresses.
     Degraded,
-    /// It has failed again and again: it gets one task at a time until one is done.
+    /// Several runs in a row have failed: it gets one task at a time until one is done.
     Probation,
-    /// It is left alone for a while.
+    /// It gets no work for a while.
     Avoided,
 }
 
-/// How far apart renewals are, beyond the usual.
+/// By how much the renewal intervals exceed [`crate::RENEWAL_INTERVAL`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Pauses {
-    /// Of workers on which nothing runs.
+    /// For workers without runs.
     pub idle: Duration,
-    /// Of the others.
+    /// For workers with runs.
     pub busy: Duration,
 }
 
-/// One life of a worker.
+/// One incarnation of a worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Worker {
     pub info: Arc<WorkerInfo>,
     pub contact: Contact,
     /// Since when the platform's list lacks it; `None` while it is listed.
     pub unlisted_since: Option<Duration>,
-    /// Position of the record that names it; it gets orders only when that is durable.
+    /// Position of the record that names the worker, which gets orders once this is durable.
     pub position: u64,
     /// When it last answered.
     pub last_heard: Duration,
     pub free: Resources,
     pub runs: BTreeMap<(Task, Attempt), Run>,
-    /// Runs that it hasn't listed yet.
+    /// Number of runs that it hasn't listed yet after their startup window.
     pub new_runs: u32,
-    /// Of these, those of suspects.
+    /// Number of these whose tasks are suspects.
     pub suspects: u32,
-    /// What was there when it was last heard of, though its leases have run out or an earlier leader placed it. It counts if the worker
-    /// turns out to have ended.
+    /// Runs whose leases have expired or that an earlier leader placed. They count as lost if the worker turns out to
+    /// have ended.
     pub possibly_lost: Vec<LostRun>,
-    /// Whether it follows another life under its name; see [`crate::handover`].
-    pub follows_earlier_life: bool,
-    /// Highest end that was taken in.
+    /// Whether it follows an earlier incarnation of the same name; see [`crate::handover`].
+    pub follows_earlier_incarnation: bool,
+    /// Highest end number that was processed.
     pub taken: u64,
-    /// Ends that wait for their records: number, and position of the records.
+    /// Ends whose records aren't durable yet: end number, and position of the records.
     pub pending: VecDeque<(u64, u64)>,
-    /// Highest end that may be acknowledged.
+    /// Highest end number that may be acknowledged.
     pub acked: u64,
-    /// Runs that failed since the last one that was done.
+    /// Runs that failed since the last one that completed its task.
     pub failures: u32,
-    /// Starts without an answer since the last one that was answered.
+    /// Starts without an answer since the last answered one.
     pub unanswered: u32,
     /// Until when it is avoided.
     pub avoid_until: Duration,
@@ -254,7 +251,7 @@
             new_runs: 0,
             suspects: 0,
             possibly_lost: Vec::new(),
-            follows_earlier_life: false,
+            follows_earlier_incarnation: false,
             taken: 0,
             pending: VecDeque::new(),
             acked: 0,
@@ -264,13 +261,12 @@
         }
     }
 
-    /// Leaves it alone for a while, twice as long with each time.
+    /// Avoids the worker for a while, with exponential backoff.
     pub(crate) fn avoid(&mut self, now: Duration, times: u32) {
         let pause = FIRST_PAUSE * 2u32.pow(times.min(MAX_PAUSE_DOUBLINGS));
         self.avoid_until = self.avoid_until.max(now + pause);
     }
 
-    /// How little is to be expected of it.
     pub(crate) fn health(&self, now: Duration, pauses: Pauses) -> Health {
         if self.avoid_until > now {
             Health::Avoided
@@ -283,7 +279,7 @@
         }
     }
 
-    /// Whether it runs something, and none of it has moved lately.
+    /// Whether it has runs and none of them has progressed lately.
     fn is_stuck(&self, now: Duration, pause: Duration) -> bool {
         let still = NO_PROGRESS_TIMEOUT + pause;
         let moves =
@@ -291,7 +287,7 @@
         !self.runs.is_empty() && !self.runs.values().any(moves)
     }
 
-    /// Takes the room of a run.
+    /// Adds a run and takes its room.
     pub(crate) fn add_run(&mut self, task: Task, attempt: Attempt, run: Run) {
         self.free = self.free.saturating_sub(&run.need);
         self.new_runs += u32::from(!run.seen_running);
@@ -299,7 +295,7 @@
         self.runs.insert((task, attempt), run);
     }
 
-    /// Takes note that it lists a run, if it has it.
+    /// Records that the worker lists a run, if it is known.
     pub(crate) fn mark_listed(&mut self, now: Duration, task: Task, attempt: Attempt) -> Option<&mut Run> {
         let run = self.runs.get_mut(&(task, attempt))?;
         run.listed = true;
@@ -314,8 +310,8 @@
 
     /// Whether it may get new work.
     ///
-    /// Entries that ran out while the store was away come back a little later: a worker that answers meanwhile
-    /// goes on being used.
+    /// Entries of the platform's list that expired during a store outage reappear a little later; a worker that
+    /// answers meanwhile stays in use.
     pub(crate) fn usable(&self, now: Duration, durable: u64, pauses: Pauses) -> bool {
         let listed = self.unlisted_since.is_none_or(|since| now.saturating_sub(since) < LIST_GRACE);
         let pause = if self.runs.is_empty() { pauses.idle } else { pauses.busy };
@@ -323,14 +319,14 @@
         listed && responsive && self.contact == Contact::Held && self.info.is_open() && self.position <= durable
     }
 
-    /// Gives the room of a run back, by counting anew: an adopted run may have exceeded the room.
+    /// Removes a run. The room is recomputed, since adopted runs may have exceeded it.
     pub(crate) fn remove_run(&mut self, task: Task, attempt: Attempt) -> Option<Run> {
         let run = self.runs.remove(&(task, attempt))?;
         self.recount();
         Some(run)
     }
 
-    /// Counts the free room and the new runs anew.
+    /// Recomputes the free room and the number of new runs.
     pub(crate) fn recount(&mut self) {
         let new = || self.runs.values().filter(|run| !run.seen_running);
         self.new_runs = new().count() as u32;
@@ -338,13 +334,13 @@
         self.free = self.runs.values().fold(self.info.capacity, |free, run| free.saturating_sub(&run.need));
     }
 
-    /// Whether its runs take more than it offers now: its room may shrink while they go on.
+    /// Whether its runs take more than it offers: its capacity may shrink while they run.
     pub(crate) fn is_overcommitted(&self) -> bool {
         let taken = self.runs.values().fold(Resources::ZERO, |sum, run| sum.saturating_add(&run.need));
         !taken.fits_in(&self.info.capacity)
     }
 
-    /// Raises what may be acknowledged to what is durable.
+    /// Raises the acknowledged end number to the last one whose records are durable.
     pub(crate) fn acknowledge(&mut self, durable: u64) {
         while let Some((number, position)) = self.pending.front().copied() {
             if position > durable {
--- a/components/sched/src/worker_list.rs
+++ b/components/sched/src/worker_list.rs
@@ -46,7 +46,7 @@
 
     /// What an entry under this id says of the workers that are known.
     fn classify_entry(&self, id: &str) -> ListEntry {
-        let Some(known) = self.latest_life(id) else { return ListEntry::New };
+        let Some(known) = self.latest_incarnation(id) else { return ListEntry::New };
         match (Life::of(id).born, Life::of(&known).born) {
             _ if self.superseded.contains(id) => ListEntry::Stale(known),
             (Some(born), Some(latest)) if born < latest => ListEntry::Stale(known),
@@ -57,7 +57,7 @@
     }
 
     /// The newest known life of the worker that an id names.
-    pub(crate) fn latest_life(&self, id: &str) -> Option<WorkerId> {
+    pub(crate) fn latest_incarnation(&self, id: &str) -> Option<WorkerId> {
         let name = Life::of(id).name;
         let first = Life { name, born: Some(0) }.id();
         let born = self.workers.range(first..).map(|(id, _)| id);
@@ -79,13 +79,13 @@
         let followed = self.followed(&present);
         let former: BTreeSet<WorkerId> = present
             .iter()
-            .filter(|(id, info)| info.as_ref().is_some_and(|info| self.is_former_life(id, info)))
+            .filter(|(id, info)| info.as_ref().is_some_and(|info| self.is_former_incarnation(id, info)))
             .map(|(id, _)| id.clone())
             .collect();
         for (id, info) in present {
             let Some(info) = info.filter(|_| !former.contains(&id)) else { continue };
             // The entry of a dead worker stays until three signs of life are missed: it would be recorded and found gone with each read.
-            let follows = self.latest_life(&id).is_some();
+            let follows = self.latest_incarnation(&id).is_some();
             if !self.superseded.contains(&id) && (follows || self.has_pool(&info.pool)) {
                 self.add_or_update_worker(clock, id, info);
             }
@@ -120,7 +120,7 @@
     }
 
     /// Whether an entry is that of a life that was known to be over before another one was found at its address.
-    fn is_former_life(&self, id: &str, info: &WorkerInfo) -> bool {
+    fn is_former_incarnation(&self, id: &str, info: &WorkerInfo) -> bool {
         let held = || self.workers.iter().rev().find(|(_, worker)| worker.info.address == info.address);
         self.departed.contains(id) && held().is_some_and(|(other, _)| other != id)
     }
@@ -159,7 +159,7 @@
         let mut runs = std::mem::take(&mut worker.possibly_lost);
         self.remove_silent(&runs);
         runs.extend(self.losses(id, last_heard));
-        let next = self.latest_life(id).filter(|next| next != id);
+        let next = self.latest_incarnation(id).filter(|next| next != id);
         let mut ended = EndedWorker { worker: id.to_owned(), reason, silent, draining, runs, next: next.clone() };
         let unsettled_runs = self.unsettled_runs(id);
         self.free_all_runs(clock, id);
