--- a/components/gateway/src/accept.rs
+++ b/components/gateway/src/accept.rs
@@ -129,7 +129,7 @@
 fn team(gateway: &Gateway, headers: &HeaderMap) -> Result<String, Refused> {
     let Some(value) = headers.get(TEAM) else { return Ok(NO_TEAM.to_owned()) };
     match value.to_str() {
-        Ok(name) if model::plan::valid_name(name) => Ok(gateway.team(name)),
+        Ok(name) if model::plan::is_valid_name(name) => Ok(gateway.team(name)),
         _ => Err(Box::new(answer::bad(StatusCode::BAD_REQUEST, "x-team must be the name of a team"))),
     }
 }
--- a/components/model/src/plan.rs
+++ b/components/model/src/plan.rs
@@ -16,10 +16,10 @@
 
 /// Why a plan was refused; each text names the place.
 #[derive(Debug, Error)]
-pub enum Fault {
+pub enum PlanError {
     /// Not YAML, or a field that is unknown, missing or of the wrong type.
     #[error("{0}")]
-    Shape(String),
+    Syntax(String),
     /// A value that can't be accepted.
     #[error("workload {workload}: {field}: {message}")]
     Value {
@@ -74,10 +74,10 @@
 }
 
 /// Reads a plan; the first fault found is returned, naming line or workload and field.
-pub fn parse(text: &str) -> Result<Vec<Workload>, Fault> {
-    let file: File = serde_saphyr::from_str(text).map_err(|fault| Fault::Shape(fault.to_string()))?;
+pub fn parse(text: &str) -> Result<Vec<Workload>, PlanError> {
+    let file: File = serde_saphyr::from_str(text).map_err(|fault| PlanError::Syntax(fault.to_string()))?;
     if file.workloads.is_empty() {
-        return Err(Fault::Empty);
+        return Err(PlanError::Empty);
     }
     let mut workloads: Vec<Workload> = Vec::new();
     for entry in file.workloads {
@@ -91,16 +91,16 @@
 }
 
 /// Whether `name` can name a workload, team, host or worker.
-pub fn valid_name(name: &str) -> bool {
+pub fn is_valid_name(name: &str) -> bool {
     let start = name.starts_with(|c: char| c.is_ascii_alphanumeric());
     let rest = name.chars().all(|c| c.is_ascii_alphanumeric() || c == '-' || c == '_');
     start && rest && name.len() <= MAX_NAME
 }
 
-fn check(entry: Entry) -> Result<Workload, Fault> {
+fn check(entry: Entry) -> Result<Workload, PlanError> {
     let name = entry.name;
     for (field, text) in [("name", &name), ("team", &entry.team)] {
-        if !valid_name(text) {
+        if !is_valid_name(text) {
             return Err(value(&name, field, "use up to 64 letters, digits, - and _"));
         }
     }
@@ -121,21 +121,21 @@
     })
 }
 
-fn resources(name: &WorkloadId, each: &Each) -> Result<Resources, Fault> {
+fn resources(name: &WorkloadId, each: &Each) -> Result<Resources, PlanError> {
     if !(0.001..=100_000.0).contains(&each.processors) {
         return Err(value(name, "each.processors", "must be from 0.001 to 100000 cores"));
     }
-    let bytes = units::size(&each.memory).map_err(|fault| value(name, "each.memory", fault))?;
+    let bytes = units::parse_size(&each.memory).map_err(|fault| value(name, "each.memory", fault))?;
     let memory_mib = u32::try_from(bytes.div_ceil(MIB)).map_err(|_| value(name, "each.memory", "too large"))?;
     let cpu_milli = (each.processors * 1000.0).round() as u32;
     Ok(Resources { cpu_milli, memory_mib, accelerators: each.accelerators })
 }
 
-fn run_time(name: &WorkloadId, text: Option<&str>) -> Result<Option<Duration>, Fault> {
+fn run_time(name: &WorkloadId, text: Option<&str>) -> Result<Option<Duration>, PlanError> {
     let Some(text) = text else { return Ok(None) };
-    units::duration(text).map(Some).map_err(|fault| value(name, "run_time", fault))
+    units::parse_duration(text).map(Some).map_err(|fault| value(name, "run_time", fault))
 }
 
-fn value(workload: &WorkloadId, field: &'static str, message: impl ToString) -> Fault {
-    Fault::Value { workload: workload.clone(), field, message: message.to_string() }
+fn value(workload: &WorkloadId, field: &'static str, message: impl ToString) -> PlanError {
+    PlanError::Value { workload: workload.clone(), field, message: message.to_string() }
 }
--- a/components/model/src/resources.rs
+++ b/components/model/src/resources.rs
@@ -50,7 +50,7 @@
     }
 
     /// So many times the amount, each dimension capped at its largest value.
-    pub fn times(&self, count: usize) -> Resources {
+    pub fn saturating_mul(&self, count: usize) -> Resources {
         let count = u32::try_from(count).unwrap_or(u32::MAX);
         Resources {
             cpu_milli: self.cpu_milli.saturating_mul(count),
--- a/components/model/src/task.rs
+++ b/components/model/src/task.rs
@@ -38,13 +38,13 @@
 }
 
 impl std::str::FromStr for Name {
-    type Err = ParseFault;
+    type Err = ParseNameError;
 
-    fn from_str(text: &str) -> Result<Name, ParseFault> {
+    fn from_str(text: &str) -> Result<Name, ParseNameError> {
         let mut parts = text.rsplitn(3, '.');
-        let index = parts.next().and_then(|part| part.parse().ok()).ok_or(ParseFault)?;
-        let data_centre = parts.next().ok_or(ParseFault)?.to_owned();
-        let workload = parts.next().ok_or(ParseFault)?.to_owned();
+        let index = parts.next().and_then(|part| part.parse().ok()).ok_or(ParseNameError)?;
+        let data_centre = parts.next().ok_or(ParseNameError)?.to_owned();
+        let workload = parts.next().ok_or(ParseNameError)?.to_owned();
         Ok(Name { workload, data_centre, index })
     }
 }
@@ -52,7 +52,7 @@
 /// A text that is not a task's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a task is named WORKLOAD.DATA-CENTRE.NUMBER, for example planner.gt-1.0")]
-pub struct ParseFault;
+pub struct ParseNameError;
 
 /// Orders the attempts at a task: first by the epoch of the claim, then by number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
--- a/components/model/src/units.rs
+++ b/components/model/src/units.rs
@@ -7,7 +7,7 @@
 
 /// An amount whose unit is missing or not known.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Fault {
+pub enum UnitError {
     /// Not a duration with a unit.
     #[error("`{0}` is not a duration with a unit, such as `250ms`, `10s` or `2h`")]
     Duration(String),
@@ -17,13 +17,13 @@
 }
 
 /// Reads a duration such as `250ms`.
-pub fn duration(text: &str) -> Result<Duration, Fault> {
-    humantime::parse_duration(text).map_err(|_| Fault::Duration(text.to_owned()))
+pub fn parse_duration(text: &str) -> Result<Duration, UnitError> {
+    humantime::parse_duration(text).map_err(|_| UnitError::Duration(text.to_owned()))
 }
 
 /// Reads a size such as `4GiB`, in bytes. A bare number is refused: its unit would be a guess.
-pub fn size(text: &str) -> Result<u64, Fault> {
-    let fault = || Fault::Size(text.to_owned());
+pub fn parse_size(text: &str) -> Result<u64, UnitError> {
+    let fault = || UnitError::Size(text.to_owned());
     if text.trim().chars().all(|c| c.is_ascii_digit() || c == '.') {
         return Err(fault());
     }
--- a/components/model/src/workload.rs
+++ b/components/model/src/workload.rs
@@ -121,7 +121,7 @@
 ///
 /// Services are spread evenly. Batch runs and gangs go whole to `preferred`, so that their tasks stand
 /// under one owner and a gang never waits for a link between data centres.
-pub fn divide(
+pub fn split_tasks(
     kind: Kind,
     count: u32,
     data_centres: &[DataCentreId],
--- a/components/node/src/commands.rs
+++ b/components/node/src/commands.rs
@@ -6,7 +6,7 @@
 
 use api::{Command, Outcome, Rows};
 use member::rank;
-use model::workload::{Intent, Kind, Priority, Record, Versioned, Workload, divide};
+use model::workload::{Intent, Kind, Priority, Record, Versioned, Workload, split_tasks};
 use model::{CommandId, DataCentreId, Reason, Resources, Revision, units};
 use place::{Cell, Worker};
 use query::{Assignment, Statement, Subject};
@@ -230,7 +230,7 @@
     }
     let ranked = rank(&workload.name, able.iter().map(String::as_str));
     let preferred = ranked.first().map_or_else(|| shared.data_centre().clone(), |name| (*name).to_owned());
-    Ok(divide(workload.kind, workload.instances, &able, &preferred))
+    Ok(split_tasks(workload.kind, workload.instances, &able, &preferred))
 }
 
 fn cancel(shared: &Shared, name: &str, revision: Option<Revision>, command: CommandId) -> Result<Change, String> {
@@ -305,7 +305,7 @@
             };
         }
         "run_time" => {
-            workload.run_time = Some(units::duration(value).map_err(|fault| format!("run_time: {fault}"))?);
+            workload.run_time = Some(units::parse_duration(value).map_err(|fault| format!("run_time: {fault}"))?);
         }
         other => {
             return Err(format!("no field `{other}` that can be changed; there are instances, priority, run_time"));
@@ -318,7 +318,7 @@
 fn redivide(record: &Record, instances: u32) -> BTreeMap<DataCentreId, u32> {
     let places: Vec<DataCentreId> = record.shares.keys().cloned().collect();
     match places.first() {
-        Some(first) => divide(record.workload.kind, instances, &places, first),
+        Some(first) => split_tasks(record.workload.kind, instances, &places, first),
         None => BTreeMap::new(),
     }
 }
@@ -330,7 +330,7 @@
     revision: Option<Revision>,
     command: CommandId,
 ) -> Result<Change, String> {
-    if !model::plan::valid_name(name) {
+    if !model::plan::is_valid_name(name) {
         return Err(format!("`{name}` can't name a team: use up to 64 letters, digits, - and _"));
     }
     let known = shared.configuration.team(name);
@@ -368,7 +368,7 @@
         "processors" => quota.cpu_milli = number()?.saturating_mul(1000),
         "accelerators" => quota.accelerators = number()?,
         "memory" => {
-            let bytes = units::size(value).map_err(|fault| format!("memory: {fault}"))?;
+            let bytes = units::parse_size(value).map_err(|fault| format!("memory: {fault}"))?;
             quota.memory_mib = u32::try_from(bytes / MIB).unwrap_or(u32::MAX);
         }
         other => {
--- a/components/node/src/show.rs
+++ b/components/node/src/show.rs
@@ -85,7 +85,8 @@
     let (name, workload) = match subject {
         Subject::Workload(name) => (name.clone(), name.clone()),
         Subject::Task(name) => {
-            let task: model::task::Name = name.parse().map_err(|fault: model::task::ParseFault| fault.to_string())?;
+            let task: model::task::Name =
+                name.parse().map_err(|fault: model::task::ParseNameError| fault.to_string())?;
             (name.clone(), task.workload)
         }
         Subject::Worker(name) => {
--- a/components/sched/src/quota.rs
+++ b/components/sched/src/quota.rs
@@ -137,7 +137,7 @@
     /// Counts tasks of this need as running.
     pub(crate) fn take(&mut self, workspace: Option<Number>, need: &Resources, tasks: usize) {
         if let Some(account) = workspace.and_then(|number| self.accounts.get_mut(number)) {
-            account.used = account.used.saturating_add(&need.times(tasks));
+            account.used = account.used.saturating_add(&need.saturating_mul(tasks));
         }
     }
 
@@ -158,7 +158,7 @@
         let limit = self.accounts.get(*self.numbers.get(workspace)?)?.limit;
         let unused = Account { limit, ..Account::default() };
         let excess = |(number, step): (usize, &Step)| {
-            let need = step.need.times(if step.gang { step.count as usize } else { 1 });
+            let need = step.need.saturating_mul(if step.gang { step.count as usize } else { 1 });
             let excess = Excess { step: number as u16, need, limit };
             (!need.fits_in(&unused.free())).then_some(excess)
         };
--- a/components/sched/src/room.rs
+++ b/components/sched/src/room.rs
@@ -312,12 +312,12 @@
 
     /// Keeps room for tasks of this need on workers.
     pub(crate) fn claim(&mut self, claims: &[Claim], need: &Resources) {
-        self.change_claims(claims, |claimed, tasks| claimed.saturating_add(&need.times(tasks)));
+        self.change_claims(claims, |claimed, tasks| claimed.saturating_add(&need.saturating_mul(tasks)));
     }
 
     /// Gives back what [`Room::claim`] has kept.
     pub(crate) fn unclaim(&mut self, claims: &[Claim], need: &Resources) {
-        self.change_claims(claims, |claimed, tasks| claimed.saturating_sub(&need.times(tasks)));
+        self.change_claims(claims, |claimed, tasks| claimed.saturating_sub(&need.saturating_mul(tasks)));
     }
 
     fn change_claims(&mut self, claims: &[Claim], change: impl Fn(&Resources, usize) -> Resources) {
--- a/components/settings/src/tree.rs
+++ b/components/settings/src/tree.rs
@@ -283,7 +283,7 @@
 }
 
 pub(crate) fn name(value: &str) -> Result<String, String> {
-    if model::plan::valid_name(value) {
+    if model::plan::is_valid_name(value) {
         return Ok(value.to_owned());
     }
     Err(format!("`{value}` is not a name: use up to 64 letters, digits, - and _"))
@@ -294,11 +294,11 @@
 }
 
 pub(crate) fn duration(value: &str) -> Result<Duration, String> {
-    units::duration(value).map_err(|fault| fault.to_string())
+    units::parse_duration(value).map_err(|fault| fault.to_string())
 }
 
 pub(crate) fn size(value: &str) -> Result<u64, String> {
-    units::size(value).map_err(|fault| fault.to_string())
+    units::parse_size(value).map_err(|fault| fault.to_string())
 }
 
 pub(crate) fn number<T: FromStr>(value: &str) -> Result<T, String> {
