--- a/components/gateway/src/accept.rs
+++ b/components/gateway/src/accept.rs
@@ -9,7 +9,7 @@
 use http_body_util::BodyExt;
 use hyper::body::{Body as _, Incoming};
 use model::DataCentreId;
-use request::{Ask, ClassIndex};
+use request::{ClassIndex, SlotRequest};
 use settings::Class;
 use web::Body;
 
@@ -44,7 +44,7 @@
 /// A request that passed the checks.
 pub(crate) struct Checked {
     pub(crate) class: ClassIndex,
-    pub(crate) ask: Ask,
+    pub(crate) ask: SlotRequest,
     pub(crate) parts: Parts,
     pub(crate) body: Incoming,
     pub(crate) source: Source,
@@ -111,7 +111,7 @@
     let settings = &gateway.classes[class];
     let deadline = deadline(headers, settings, received)?;
     let team = team(gateway, headers)?;
-    let ask = Ask { team, priority: settings.priority, deadline };
+    let ask = SlotRequest { team, priority: settings.priority, deadline };
     Ok(Checked { class, ask, parts, body, source })
 }
 
--- a/components/gateway/src/answer.rs
+++ b/components/gateway/src/answer.rs
@@ -17,7 +17,7 @@
 
 /// A refusal before anything was sent to a backend server.
 pub(crate) fn refused(refusal: &Refusal) -> Response<Body> {
-    told(StatusCode::SERVICE_UNAVAILABLE, "not-run", refusal.why.text(), Some(refusal.retry_after))
+    told(StatusCode::SERVICE_UNAVAILABLE, "not-run", refusal.reason.message(), Some(refusal.retry_after))
 }
 
 /// Not sent to a backend server, for a reason other than admission.
--- a/components/gateway/src/dispatch.rs
+++ b/components/gateway/src/dispatch.rs
@@ -11,7 +11,7 @@
 use http::{HeaderMap, HeaderName, Request, Response, StatusCode, header};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::{Body as HttpBody, Frame, Incoming, SizeHint};
-use request::{Ask, Refusal};
+use request::{Refusal, SlotRequest};
 use web::Body;
 
 use crate::answer;
@@ -82,7 +82,7 @@
 }
 
 /// Runs a request on an instance of the service.
-pub(crate) async fn dispatch(service: &Arc<Service>, ask: &Ask, parts: &Parts, body: Outgoing) -> Dispatched {
+pub(crate) async fn dispatch(service: &Arc<Service>, ask: &SlotRequest, parts: &Parts, body: Outgoing) -> Dispatched {
     let mut slot = match service.slot(ask).await {
         Ok(slot) => slot,
         Err(refusal) => return Dispatched::Refused(refusal),
--- a/components/gateway/src/handover.rs
+++ b/components/gateway/src/handover.rs
@@ -8,7 +8,7 @@
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
 use member::winner;
 use model::HostId;
-use request::Key;
+use request::IdempotencyKey;
 use wire::{Remembered, RememberedAnswer};
 
 use crate::keyed::Stored;
@@ -34,7 +34,7 @@
     pub fn take_keys(&self, keys: &[Remembered]) -> bool {
         let now = SystemTime::now();
         keys.iter().all(|remembered| {
-            let Ok(key) = Key::parse(&remembered.key, SKEW, now) else { return false };
+            let Ok(key) = IdempotencyKey::parse(&remembered.key, SKEW, now) else { return false };
             let answer = remembered.answer.as_ref().map(unpack);
             let answer = answer.map(|stored| {
                 let size = stored.size();
@@ -46,7 +46,7 @@
 
     /// Takes in that a host has handed all its keys over.
     pub fn handed_over(&self, from: HostId) {
-        self.home.lock().handed_over(from, SystemTime::now());
+        self.home.lock().record_handover(from, SystemTime::now());
     }
 }
 
--- a/components/gateway/src/keyed.rs
+++ b/components/gateway/src/keyed.rs
@@ -13,7 +13,7 @@
 use member::winner;
 use model::DataCentreId;
 use parking_lot::Mutex;
-use request::{Ask, Begin, ClassIndex, Key, Memory, Standing};
+use request::{BeginOutcome, ClassIndex, IdempotencyKey, IdempotencyStore, KeyStatus, SlotRequest};
 use tokio::sync::watch;
 use web::Body;
 
@@ -77,8 +77,8 @@
 }
 
 pub(crate) struct Shard {
-    pub(crate) memory: Memory<Arc<Stored>>,
-    running: HashMap<Key, watch::Receiver<Option<End>>>,
+    pub(crate) memory: IdempotencyStore<Arc<Stored>>,
+    running: HashMap<IdempotencyKey, watch::Receiver<Option<End>>>,
 }
 
 /// The keys that this host is home of.
@@ -89,7 +89,10 @@
 
 impl Keys {
     pub(crate) fn new(limits: &settings::Requests) -> Keys {
-        let shard = || Shard { memory: Memory::new(limits.key_window, MOST_KEYS, MOST_BYTES), running: HashMap::new() };
+        let shard = || Shard {
+            memory: IdempotencyStore::new(limits.key_window, MOST_KEYS, MOST_BYTES),
+            running: HashMap::new(),
+        };
         Keys {
             shards: (0..SHARDS).map(|_| Mutex::new(shard())).collect(),
             max_remembered: limits.max_remembered as usize,
@@ -100,7 +103,7 @@
         &self.shards
     }
 
-    pub(crate) fn shard(&self, key: &Key) -> &Mutex<Shard> {
+    pub(crate) fn shard(&self, key: &IdempotencyKey) -> &Mutex<Shard> {
         let hash = blake3::hash(key.text().as_bytes());
         &self.shards[usize::from(hash.as_bytes()[0]) % SHARDS]
     }
@@ -108,7 +111,7 @@
 
 /// A key as the caller wrote it: a UUID, or a data centre, a colon and a UUID.
 struct Addressed {
-    key: Key,
+    key: IdempotencyKey,
     data_centre: DataCentreId,
 }
 
@@ -124,7 +127,7 @@
         Some((data_centre, id)) => (Some(data_centre), id),
         None => (None, text),
     };
-    let key = Key::parse(id, SKEW, SystemTime::now()).map_err(|fault| fault.to_string())?;
+    let key = IdempotencyKey::parse(id, SKEW, SystemTime::now()).map_err(|fault| fault.to_string())?;
     let data_centre = match named {
         Some(name) if gateway.data_centres.iter().any(|known| known == name) => name.to_owned(),
         Some(name) => return Err(format!("the Idempotency-Key names no data centre of this cell: {name}")),
@@ -144,17 +147,17 @@
     if data_centre != gateway.data_centre {
         return to_data_centre(gateway, checked, &data_centre).await;
     }
-    let standing = gateway.home.lock().standing(&key.text(), key.created());
+    let standing = gateway.home.lock().status(&key.text(), key.created());
     match standing {
-        Standing::Mine => at_home(gateway, checked, key).await,
-        Standing::Other(host) => to_host(gateway, checked, &host).await,
-        Standing::TooYoung => not_remembered(gateway, &key),
-        Standing::Uncertain => asked_again("its home can't be sure now that no other host has taken its place"),
+        KeyStatus::Owned => at_home(gateway, checked, key).await,
+        KeyStatus::OwnedBy(host) => to_host(gateway, checked, &host).await,
+        KeyStatus::MayHaveRun => not_remembered(gateway, &key),
+        KeyStatus::Uncertain => asked_again("its home can't be sure now that no other host has taken its place"),
     }
 }
 
 /// The key's home may have moved here after the key was made. What is in the memory is certain all the same.
-fn not_remembered(gateway: &Gateway, key: &Key) -> Response<Body> {
+fn not_remembered(gateway: &Gateway, key: &IdempotencyKey) -> Response<Body> {
     let known = gateway.keys.shard(key).lock().memory.get(key);
     match known {
         Some(stored) => stored.answer(),
@@ -197,7 +200,7 @@
     }
 }
 
-async fn at_home(gateway: &Arc<Gateway>, checked: Checked, key: Key) -> Response<Body> {
+async fn at_home(gateway: &Arc<Gateway>, checked: Checked, key: IdempotencyKey) -> Response<Body> {
     let deadline = checked.ask.deadline;
     let bytes = match read_body(checked.body, deadline).await {
         Ok(bytes) => bytes,
@@ -206,16 +209,16 @@
     let mut running = {
         let mut shard = gateway.keys.shard(&key).lock();
         match shard.memory.begin(&key, SystemTime::now()) {
-            Begin::Answered(stored) => return stored.answer(),
-            Begin::Unknown => {
+            BeginOutcome::Answered(stored) => return stored.answer(),
+            BeginOutcome::Unknown => {
                 return answer::unknown(StatusCode::CONFLICT, "whether it ran can't be said any more", None);
             }
-            Begin::Full => return answer::not_run("the home remembers too many keys already", ASK_AGAIN),
-            Begin::Running => match shard.running.get(&key) {
+            BeginOutcome::Full => return answer::not_run("the home remembers too many keys already", ASK_AGAIN),
+            BeginOutcome::Running => match shard.running.get(&key) {
                 Some(running) => running.clone(),
                 None => return asked_again("an earlier request with the key is ending"),
             },
-            Begin::First => {
+            BeginOutcome::First => {
                 let (sender, receiver) = watch::channel(None);
                 shard.running.insert(key, receiver.clone());
                 drop(shard);
@@ -250,10 +253,10 @@
 /// The one run of a key.
 struct Run {
     class: ClassIndex,
-    ask: Ask,
+    ask: SlotRequest,
     parts: Parts,
     bytes: Bytes,
-    key: Key,
+    key: IdempotencyKey,
 }
 
 impl Run {
@@ -261,9 +264,9 @@
         let end = self.run(&gateway).await;
         let mut shard = gateway.keys.shard(&self.key).lock();
         match &end {
-            End::Answered(stored) => shard.memory.answered(&self.key, stored.clone(), stored.size()),
-            End::NotRun(..) => shard.memory.not_run(&self.key),
-            End::Unknown(_) => shard.memory.unknown(&self.key),
+            End::Answered(stored) => shard.memory.record_answer(&self.key, stored.clone(), stored.size()),
+            End::NotRun(..) => shard.memory.record_not_run(&self.key),
+            End::Unknown(_) => shard.memory.record_unknown(&self.key),
         }
         shard.running.remove(&self.key);
         drop(shard);
@@ -273,7 +276,7 @@
     async fn run(&self, gateway: &Arc<Gateway>) -> End {
         let service = &gateway.services[&gateway.classes[self.class].service];
         match dispatch(service, &self.ask, &self.parts, body::whole(self.bytes.clone())).await {
-            Dispatched::Refused(refusal) => End::NotRun(refusal.why.text().to_owned(), refusal.retry_after),
+            Dispatched::Refused(refusal) => End::NotRun(refusal.reason.message().to_owned(), refusal.retry_after),
             Dispatched::NotRun => End::NotRun("no instance of the service took it".to_owned(), service.retry_after()),
             Dispatched::Unknown(why) => End::Unknown(why),
             Dispatched::Answered(answer, held) => {
--- a/components/gateway/src/service.rs
+++ b/components/gateway/src/service.rs
@@ -6,7 +6,9 @@
 
 use model::HostId;
 use parking_lot::Mutex;
-use request::{Ask, Budget, Instance, Offer, Pick, Pool, Queue, Refusal, Room, Ticket, Why};
+use request::{
+    Admission, Capacity, Instance, Pool, Queue, Refusal, RefusalReason, RetryBudget, SlotRequest, TakenSlot, Ticket,
+};
 use tokio::sync::oneshot;
 
 use crate::link::Links;
@@ -14,13 +16,13 @@
 /// Longest time that the slot of an abandoned request stays taken.
 const ABANDONED: Duration = Duration::from_secs(1);
 
-type Grant = Result<Pick, Refusal>;
+type Grant = Result<TakenSlot, Refusal>;
 
 struct State {
     pool: Pool,
     queue: Queue,
     waiters: HashMap<Ticket, oneshot::Sender<Grant>>,
-    budget: Budget,
+    budget: RetryBudget,
     instances: Vec<Instance>,
     hosts: Vec<HostId>,
 }
@@ -37,7 +39,7 @@
             pool: Pool::new(own, limits.slots, gain_after),
             queue: Queue::new(limits.queue as usize),
             waiters: HashMap::new(),
-            budget: Budget::default(),
+            budget: RetryBudget::default(),
             instances: Vec::new(),
             hosts: Vec::new(),
         };
@@ -73,18 +75,18 @@
     }
 
     /// Takes a slot, at once or after waiting, or is refused.
-    pub(crate) async fn slot(self: &Arc<Self>, ask: &Ask) -> Result<Slot, Refusal> {
+    pub(crate) async fn slot(self: &Arc<Self>, ask: &SlotRequest) -> Result<Slot, Refusal> {
         let now = Instant::now();
         let receiver = {
             let mut state = self.state.lock();
             if state.pool.instances() == 0 {
-                return Err(Refusal { why: Why::NoInstance, retry_after: Duration::from_secs(1) });
+                return Err(Refusal { reason: RefusalReason::NoInstance, retry_after: Duration::from_secs(1) });
             }
             let room = state.room(now);
-            match state.queue.offer(ask, &room, now) {
-                Offer::Refused(refusal) => return Err(refusal),
-                Offer::Run => return state.take(now).map(|pick| self.clone().guard(pick)),
-                Offer::Wait(ticket) => {
+            match state.queue.admit(ask, &room, now) {
+                Admission::Refused(refusal) => return Err(refusal),
+                Admission::Run => return state.take(now).map(|pick| self.clone().guard(pick)),
+                Admission::Wait(ticket) => {
                     let (sender, receiver) = oneshot::channel();
                     state.waiters.insert(ticket, sender);
                     Waiter { service: self.clone(), ask: ask.clone(), ticket, receiver, settled: false }
@@ -99,9 +101,9 @@
     pub(crate) fn another(self: &Arc<Self>, failed: &str) -> Option<Slot> {
         let now = Instant::now();
         let mut state = self.state.lock();
-        let pick = state.pool.pick(Some(failed), now)?;
-        if !state.budget.take() {
-            state.pool.cancel(&pick);
+        let pick = state.pool.take_slot(Some(failed), now)?;
+        if !state.budget.try_take() {
+            state.pool.return_unused(&pick);
             return None;
         }
         drop(state);
@@ -111,20 +113,20 @@
     /// When a refused caller should come back.
     pub(crate) fn retry_after(&self) -> Duration {
         let state = self.state.lock();
-        let mean = state.pool.mean_seconds().map(Duration::from_secs_f64);
+        let mean = state.pool.typical_seconds().map(Duration::from_secs_f64);
         state.queue.retry_after(state.pool.capacity().0, mean)
     }
 
-    fn guard(self: Arc<Self>, pick: Pick) -> Slot {
+    fn guard(self: Arc<Self>, pick: TakenSlot) -> Slot {
         Slot { service: self, pick, taken_at: Instant::now(), settled: false }
     }
 
-    fn done(&self, pick: &Pick, took: Option<Duration>) {
+    fn done(&self, pick: &TakenSlot, took: Option<Duration>) {
         let now = Instant::now();
         let mut state = self.state.lock();
-        state.pool.done(pick, took, now);
+        state.pool.release(pick, took, now);
         if took.is_some() {
-            state.budget.succeeded();
+            state.budget.record_success();
         }
         state.grant_waiting(now);
     }
@@ -136,38 +138,44 @@
         self.grant_waiting(now);
     }
 
-    fn room(&mut self, now: Instant) -> Room {
-        let free = self.pool.has_free(now);
-        Room { slots: self.pool.capacity().0, free, answer: self.pool.mean_seconds().map(Duration::from_secs_f64) }
+    fn room(&mut self, now: Instant) -> Capacity {
+        let free = self.pool.has_free_slot(now);
+        Capacity {
+            slots: self.pool.capacity().0,
+            free,
+            answer_time: self.pool.typical_seconds().map(Duration::from_secs_f64),
+        }
     }
 
     fn take(&mut self, now: Instant) -> Grant {
-        self.pool.pick(None, now).ok_or(Refusal { why: Why::NoShare, retry_after: Duration::from_secs(1) })
+        self.pool
+            .take_slot(None, now)
+            .ok_or(Refusal { reason: RefusalReason::NoShare, retry_after: Duration::from_secs(1) })
     }
 
     /// Hands free slots to those that wait, and refuses those whose deadline came.
     fn grant_waiting(&mut self, now: Instant) {
         while !self.queue.is_empty() {
-            let Some(pick) = self.pool.pick(None, now) else { return };
-            let mean = self.pool.mean_seconds().map(Duration::from_secs_f64);
+            let Some(pick) = self.pool.take_slot(None, now) else { return };
+            let mean = self.pool.typical_seconds().map(Duration::from_secs_f64);
             let (next, late) = self.queue.next(mean, now);
             self.refuse(late);
             let Some(sender) = next.and_then(|ticket| self.waiters.remove(&ticket)) else {
-                self.pool.cancel(&pick);
+                self.pool.return_unused(&pick);
                 continue;
             };
             if let Err(Ok(pick)) = sender.send(Ok(pick)) {
-                self.pool.cancel(&pick);
+                self.pool.return_unused(&pick);
             }
         }
     }
 
     fn refuse(&mut self, late: Vec<Ticket>) {
-        let mean = self.pool.mean_seconds().map(Duration::from_secs_f64);
+        let mean = self.pool.typical_seconds().map(Duration::from_secs_f64);
         let retry_after = self.queue.retry_after(self.pool.capacity().0, mean);
         for ticket in late {
             if let Some(sender) = self.waiters.remove(&ticket) {
-                let _ = sender.send(Err(Refusal { why: Why::TooLate, retry_after }));
+                let _ = sender.send(Err(Refusal { reason: RefusalReason::TooLate, retry_after }));
             }
         }
     }
@@ -176,7 +184,7 @@
 /// A request that waits; leaves the queue when its caller goes away.
 struct Waiter {
     service: Arc<Service>,
-    ask: Ask,
+    ask: SlotRequest,
     ticket: Ticket,
     receiver: oneshot::Receiver<Grant>,
     settled: bool,
@@ -191,7 +199,7 @@
             return grant;
         }
         let retry_after = self.service.retry_after();
-        Err(Refusal { why: Why::TooLate, retry_after })
+        Err(Refusal { reason: RefusalReason::TooLate, retry_after })
     }
 }
 
@@ -201,11 +209,11 @@
             return;
         }
         let mut state = self.service.state.lock();
-        state.queue.leave(&self.ask, self.ticket);
+        state.queue.remove(&self.ask, self.ticket);
         state.waiters.remove(&self.ticket);
         // A grant may have come at the last moment; its slot goes to the next.
         if let Ok(Ok(pick)) = self.receiver.try_recv() {
-            state.pool.cancel(&pick);
+            state.pool.return_unused(&pick);
             state.grant_waiting(Instant::now());
         }
     }
@@ -214,7 +222,7 @@
 /// A slot in use. Dropped without an end, it counts as a failure of the instance.
 pub(crate) struct Slot {
     service: Arc<Service>,
-    pub(crate) pick: Pick,
+    pub(crate) pick: TakenSlot,
     taken_at: Instant,
     settled: bool,
 }
@@ -228,7 +236,7 @@
     /// The caller's time is up, but the instance may work on: its slot stays taken for as long as an answer
     /// usually takes, so that it does not get more than it can run.
     pub(crate) fn abandoned(self) {
-        let mean = self.service.state.lock().pool.mean_seconds();
+        let mean = self.service.state.lock().pool.typical_seconds();
         let pause = mean.map_or(ABANDONED, Duration::from_secs_f64).min(ABANDONED);
         tokio::spawn(async move {
             tokio::time::sleep(pause).await;
--- a/components/gateway/src/state.rs
+++ b/components/gateway/src/state.rs
@@ -11,7 +11,7 @@
 use metrics::Metrics;
 use model::{ClassId, DataCentreId, HostId, TeamId, WorkloadId};
 use parking_lot::{Mutex, RwLock};
-use request::{Classes, Home, Instance};
+use request::{Classes, Instance, KeyOwnership};
 use settings::{Class, Settings};
 use slog::Logger;
 use web::Body;
@@ -88,7 +88,7 @@
     pub(crate) counts: Vec<Counts>,
     pub(crate) services: BTreeMap<WorkloadId, Arc<Service>>,
     pub(crate) keys: Keys,
-    pub(crate) home: Mutex<Home>,
+    pub(crate) home: Mutex<KeyOwnership>,
     pub(crate) topology: RwLock<Topology>,
     pub(crate) relay: Relay,
     pub(crate) metrics: Metrics,
@@ -116,7 +116,7 @@
             classes: settings.classes.clone(),
             services,
             keys: Keys::new(&settings.requests),
-            home: Mutex::new(Home::new(settings.host.clone(), SKEW, SystemTime::now())),
+            home: Mutex::new(KeyOwnership::new(settings.host.clone(), SKEW, SystemTime::now())),
             topology: RwLock::default(),
             relay: Relay::new(&settings.shared_key),
             metrics,
@@ -146,8 +146,8 @@
         {
             let mut home = self.home.lock();
             let wall = SystemTime::now();
-            home.view(topology.homes.clone(), wall);
-            if home.certain(topology.certain, wall) && !topology.certain {
+            home.update_hosts(topology.homes.clone(), wall);
+            if home.update_quorum(topology.certain, wall) && !topology.certain {
                 events::emit!(self.log, events::KEYS_UNCERTAIN);
             }
         }
--- a/components/request/src/keys.rs
+++ b/components/request/src/keys.rs
@@ -7,35 +7,35 @@
 
 /// The key of an unrepeatable request: a UUID of version 7, which carries the time it was made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Key {
+pub struct IdempotencyKey {
     id: Uuid,
     created: SystemTime,
 }
 
 /// Why a text is not a key that can be accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum KeyFault {
+pub enum KeyError {
     /// Not a UUID of version 7.
     #[error("Idempotency-Key must be a UUID of version 7")]
-    Shape,
+    Malformed,
     /// Made later than now.
     #[error("Idempotency-Key was made in the future; check the caller's clock")]
     Future,
 }
 
-impl Key {
+impl IdempotencyKey {
     /// Reads a key; `skew` is how far the caller's clock may be ahead.
-    pub fn parse(text: &str, skew: Duration, now: SystemTime) -> Result<Key, KeyFault> {
-        let id = Uuid::parse_str(text.trim()).map_err(|_| KeyFault::Shape)?;
+    pub fn parse(text: &str, skew: Duration, now: SystemTime) -> Result<IdempotencyKey, KeyError> {
+        let id = Uuid::parse_str(text.trim()).map_err(|_| KeyError::Malformed)?;
         if id.get_version_num() != 7 {
-            return Err(KeyFault::Shape);
+            return Err(KeyError::Malformed);
         }
-        let (seconds, nanos) = id.get_timestamp().ok_or(KeyFault::Shape)?.to_unix();
+        let (seconds, nanos) = id.get_timestamp().ok_or(KeyError::Malformed)?.to_unix();
         let created = UNIX_EPOCH + Duration::new(seconds, nanos);
         if created > now + skew {
-            return Err(KeyFault::Future);
+            return Err(KeyError::Future);
         }
-        Ok(Key { id, created })
+        Ok(IdempotencyKey { id, created })
     }
 
     /// The key in its usual spelling, whatever the caller's was.
@@ -51,7 +51,7 @@
 
 /// What to do with a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Begin<A> {
+pub enum BeginOutcome<A> {
     /// It is the first: run it, then say how it ended.
     First,
     /// The first one runs still: wait for its end.
@@ -73,7 +73,7 @@
 
 /// Keys and the answers to them, bounded in number, bytes and time.
 #[derive(Debug)]
-pub struct Memory<A> {
+pub struct IdempotencyStore<A> {
     window: Duration,
     most: usize,
     most_bytes: usize,
@@ -82,35 +82,35 @@
     by_age: BTreeMap<(SystemTime, Uuid), ()>,
 }
 
-impl<A: Clone> Memory<A> {
+impl<A: Clone> IdempotencyStore<A> {
     /// Remembers keys until `window` after they were made, at most `most` of them; none is taken while their
     /// answers have `most_bytes` or more.
-    pub fn new(window: Duration, most: usize, most_bytes: usize) -> Memory<A> {
-        Memory { window, most, most_bytes, bytes: 0, entries: HashMap::new(), by_age: BTreeMap::new() }
+    pub fn new(window: Duration, most: usize, most_bytes: usize) -> IdempotencyStore<A> {
+        IdempotencyStore { window, most, most_bytes, bytes: 0, entries: HashMap::new(), by_age: BTreeMap::new() }
     }
 
     /// Takes a request in. A key older than the window is `Unknown`: its memory may be gone.
-    pub fn begin(&mut self, key: &Key, now: SystemTime) -> Begin<A> {
+    pub fn begin(&mut self, key: &IdempotencyKey, now: SystemTime) -> BeginOutcome<A> {
         self.expire(now);
         match self.entries.get(&key.id) {
-            Some(Entry::Running) => return Begin::Running,
-            Some(Entry::Answered(answer, _)) => return Begin::Answered(answer.clone()),
-            Some(Entry::Unknown) => return Begin::Unknown,
+            Some(Entry::Running) => return BeginOutcome::Running,
+            Some(Entry::Answered(answer, _)) => return BeginOutcome::Answered(answer.clone()),
+            Some(Entry::Unknown) => return BeginOutcome::Unknown,
             None => {}
         }
         if key.created + self.window <= now {
-            return Begin::Unknown;
+            return BeginOutcome::Unknown;
         }
         if self.entries.len() >= self.most || self.bytes >= self.most_bytes {
-            return Begin::Full;
+            return BeginOutcome::Full;
         }
         self.entries.insert(key.id, Entry::Running);
         self.by_age.insert((key.created, key.id), ());
-        Begin::First
+        BeginOutcome::First
     }
 
     /// The answer to a key, when it is remembered.
-    pub fn get(&self, key: &Key) -> Option<A> {
+    pub fn get(&self, key: &IdempotencyKey) -> Option<A> {
         match self.entries.get(&key.id) {
             Some(Entry::Answered(answer, _)) => Some(answer.clone()),
             _ => None,
@@ -118,17 +118,17 @@
     }
 
     /// The request was answered, with an answer of so many bytes.
-    pub fn answered(&mut self, key: &Key, answer: A, bytes: usize) {
+    pub fn record_answer(&mut self, key: &IdempotencyKey, answer: A, bytes: usize) {
         self.set(key, Entry::Answered(answer, bytes));
     }
 
     /// Whether the request ran can't be said.
-    pub fn unknown(&mut self, key: &Key) {
+    pub fn record_unknown(&mut self, key: &IdempotencyKey) {
         self.set(key, Entry::Unknown);
     }
 
     /// The request surely did not run: a later one with the key may.
-    pub fn not_run(&mut self, key: &Key) {
+    pub fn record_not_run(&mut self, key: &IdempotencyKey) {
         self.remove(&(key.created, key.id));
     }
 
@@ -139,7 +139,7 @@
         }
     }
 
-    fn set(&mut self, key: &Key, entry: Entry<A>) {
+    fn set(&mut self, key: &IdempotencyKey, entry: Entry<A>) {
         let Some(known) = self.entries.get_mut(&key.id) else { return };
         if let Entry::Answered(_, bytes) = &entry {
             self.bytes += bytes;
@@ -162,15 +162,15 @@
     }
 
     /// Takes in a key that another host remembered. False when there is no room for it.
-    pub fn restore(&mut self, key: &Key, answer: Option<(A, usize)>, now: SystemTime) -> bool {
+    pub fn restore(&mut self, key: &IdempotencyKey, answer: Option<(A, usize)>, now: SystemTime) -> bool {
         match self.begin(key, now) {
-            Begin::First => {}
-            Begin::Full => return false,
-            Begin::Running | Begin::Answered(_) | Begin::Unknown => return true,
+            BeginOutcome::First => {}
+            BeginOutcome::Full => return false,
+            BeginOutcome::Running | BeginOutcome::Answered(_) | BeginOutcome::Unknown => return true,
         }
         match answer {
-            Some((answer, bytes)) => self.answered(key, answer, bytes),
-            None => self.unknown(key),
+            Some((answer, bytes)) => self.record_answer(key, answer, bytes),
+            None => self.record_unknown(key),
         }
         true
     }
--- a/components/request/src/lib.rs
+++ b/components/request/src/lib.rs
@@ -7,15 +7,15 @@
 #![allow(clippy::missing_errors_doc, clippy::missing_panics_doc)]
 
 mod class;
-mod home;
 mod keys;
+mod ownership;
 mod pool;
 mod queue;
 mod retry;
 
 pub use class::{ClassIndex, Classes};
-pub use home::{Home, Standing};
-pub use keys::{Begin, Key, KeyFault, Memory};
-pub use pool::{Instance, Pick, Pool, allot};
-pub use queue::{Ask, Offer, Queue, Refusal, Room, Ticket, Why};
-pub use retry::Budget;
+pub use keys::{BeginOutcome, IdempotencyKey, IdempotencyStore, KeyError};
+pub use ownership::{KeyOwnership, KeyStatus};
+pub use pool::{Instance, Pool, TakenSlot, slot_share};
+pub use queue::{Admission, Capacity, Queue, Refusal, RefusalReason, SlotRequest, Ticket};
+pub use retry::RetryBudget;
--- a/components/request/src/home.rs
+++ b/components/request/src/ownership.rs
@@ -11,20 +11,20 @@
 
 /// Whether this host may run the request of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum KeyStatus {
     /// It is the key's home, and was for all of the key's life.
-    Mine,
+    Owned,
     /// Another host is.
-    Other(HostId),
+    OwnedBy(HostId),
     /// It is the key's home now, but another one may have run the request before.
-    TooYoung,
+    MayHaveRun,
     /// It has no authority now: its peers may replace it.
     Uncertain,
 }
 
 /// The homes of keys within one data centre, as one host sees them over time.
 #[derive(Clone, Debug)]
-pub struct Home {
+pub struct KeyOwnership {
     own: HostId,
     /// How far the clocks and views of two hosts may differ.
     skew: Duration,
@@ -37,14 +37,14 @@
     handed: HashMap<HostId, SystemTime>,
 }
 
-impl Home {
+impl KeyOwnership {
     /// A host that begins to remember at `now`.
-    pub fn new(own: HostId, skew: Duration, now: SystemTime) -> Home {
-        Home { own, skew, views: VecDeque::new(), since: now, certain: false, handed: HashMap::new() }
+    pub fn new(own: HostId, skew: Duration, now: SystemTime) -> KeyOwnership {
+        KeyOwnership { own, skew, views: VecDeque::new(), since: now, certain: false, handed: HashMap::new() }
     }
 
     /// Takes in the live hosts of the data centre. Tells whether they changed.
-    pub fn view(&mut self, hosts: Vec<HostId>, now: SystemTime) -> bool {
+    pub fn update_hosts(&mut self, hosts: Vec<HostId>, now: SystemTime) -> bool {
         if self.views.back().is_some_and(|(_, known)| *known == hosts) {
             return false;
         }
@@ -59,7 +59,7 @@
 
     /// Takes in whether a quorum has heard this host lately. While it has not, another host may take its place,
     /// so that afterwards the memory counts as new. Tells whether that changed.
-    pub fn certain(&mut self, certain: bool, now: SystemTime) -> bool {
+    pub fn update_quorum(&mut self, certain: bool, now: SystemTime) -> bool {
         let changed = self.certain != certain;
         if changed && certain {
             self.since = now;
@@ -69,7 +69,7 @@
     }
 
     /// Takes in that a host that stops has handed over all its keys whose home this one is now.
-    pub fn handed_over(&mut self, from: HostId, now: SystemTime) {
+    pub fn record_handover(&mut self, from: HostId, now: SystemTime) {
         self.handed.insert(from, now);
     }
 
@@ -79,26 +79,26 @@
     }
 
     /// The standing of this host for a key that was made at `created`.
-    pub fn standing(&self, key: &str, created: SystemTime) -> Standing {
-        let Some((_, hosts)) = self.views.back() else { return Standing::Uncertain };
+    pub fn status(&self, key: &str, created: SystemTime) -> KeyStatus {
+        let Some((_, hosts)) = self.views.back() else { return KeyStatus::Uncertain };
         match home(key, hosts) {
             Some(host) if host == self.own => {}
-            Some(host) => return Standing::Other(host.to_owned()),
-            None => return Standing::Uncertain,
+            Some(host) => return KeyStatus::OwnedBy(host.to_owned()),
+            None => return KeyStatus::Uncertain,
         }
         if !self.certain {
-            return Standing::Uncertain;
+            return KeyStatus::Uncertain;
         }
         // Another host's clock or view may lag by the skew.
         let from = created.checked_sub(self.skew).unwrap_or(SystemTime::UNIX_EPOCH);
         if from < self.since {
-            return Standing::TooYoung;
+            return KeyStatus::MayHaveRun;
         }
         let mine_throughout = self.views_since(from).all(|(began, hosts)| match home(key, hosts) {
             Some(host) => host == self.own || self.handed.get(host).is_some_and(|at| began < at),
             None => false,
         });
-        if mine_throughout { Standing::Mine } else { Standing::TooYoung }
+        if mine_throughout { KeyStatus::Owned } else { KeyStatus::MayHaveRun }
     }
 
     /// Views that were in force at `from` or later.
--- a/components/request/src/pool.rs
+++ b/components/request/src/pool.rs
@@ -24,7 +24,7 @@
 /// How many of an instance's slots belong to `own`, among the live hosts of the data centre.
 ///
 /// The hosts are ranked anew for each instance, and its slots dealt to them in turn.
-pub fn allot(instance: &str, hosts: &[HostId], own: &str, slots: u32) -> u32 {
+pub fn slot_share(instance: &str, hosts: &[HostId], own: &str, slots: u32) -> u32 {
     let ranked = rank(instance, hosts.iter().map(String::as_str));
     let Some(position) = ranked.iter().position(|host| *host == own) else { return 0 };
     let (count, position) = (ranked.len() as u32, position as u32);
@@ -40,9 +40,9 @@
     pub address: SocketAddr,
 }
 
-/// A slot taken on an instance; give it back by [`Pool::done`].
+/// A slot taken on an instance; give it back by [`Pool::release`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Pick {
+pub struct TakenSlot {
     /// The instance.
     pub name: String,
     /// Where it answers.
@@ -105,7 +105,7 @@
     }
 
     fn update_instance(&mut self, instance: &Instance, now: Instant) {
-        let share = allot(&instance.name, &self.hosts, &self.own, self.slots);
+        let share = slot_share(&instance.name, &self.hosts, &self.own, self.slots);
         let settled = self.hosts_since.map_or(now, |since| since + self.gain_after);
         let member = self.members.entry(instance.name.clone()).or_insert_with(|| Member {
             address: instance.address,
@@ -131,14 +131,14 @@
 
     /// Takes a slot on the instance that is least loaded for its share, then fastest; `None` when no slot is
     /// free. `avoid` names an instance that just failed the same request.
-    pub fn pick(&mut self, avoid: Option<&str>, now: Instant) -> Option<Pick> {
+    pub fn take_slot(&mut self, avoid: Option<&str>, now: Instant) -> Option<TakenSlot> {
         self.use_gains(now);
         let open = || self.members.iter().filter(|(name, member)| member.open(now) && Some(name.as_str()) != avoid);
         let best = open().min_by(|(_, left), (_, right)| load(left).total_cmp(&load(right)))?;
         let name = best.0.clone();
         let member = self.members.get_mut(&name)?;
         member.in_use += 1;
-        Some(Pick { name, address: member.address })
+        Some(TakenSlot { name, address: member.address })
     }
 
     fn use_gains(&mut self, now: Instant) {
@@ -152,21 +152,21 @@
         }
     }
 
-    /// Whether [`Pool::pick`] would find a slot.
-    pub fn has_free(&mut self, now: Instant) -> bool {
+    /// Whether [`Pool::take_slot`] would find a slot.
+    pub fn has_free_slot(&mut self, now: Instant) -> bool {
         self.use_gains(now);
         self.members.values().any(|member| member.open(now))
     }
 
     /// Gives a slot back that was not used.
-    pub fn cancel(&mut self, pick: &Pick) {
+    pub fn return_unused(&mut self, pick: &TakenSlot) {
         if let Some(member) = self.members.get_mut(&pick.name) {
             member.in_use = member.in_use.saturating_sub(1);
         }
     }
 
     /// Gives a slot back, with the time that the answer took; `None` when the instance failed.
-    pub fn done(&mut self, pick: &Pick, took: Option<Duration>, now: Instant) {
+    pub fn release(&mut self, pick: &TakenSlot, took: Option<Duration>, now: Instant) {
         let median = self.median_seconds();
         let most_eased = self.members.len() / 2;
         let eased = self.members.values().filter(|member| member.eased_until.is_some_and(|until| until > now)).count();
@@ -218,7 +218,7 @@
     }
 
     /// Mean seconds of an answer over all instances; `None` before the first.
-    pub fn mean_seconds(&self) -> Option<f64> {
+    pub fn typical_seconds(&self) -> Option<f64> {
         let median = self.median_seconds();
         (median > 0.0).then_some(median)
     }
--- a/components/request/src/queue.rs
+++ b/components/request/src/queue.rs
@@ -13,14 +13,14 @@
 const SOONEST_RETRY: Duration = Duration::from_millis(100);
 /// Longest time that a refused caller is asked to stay away.
 const LATEST_RETRY: Duration = Duration::from_secs(60);
-/// Room that is left for an answer that takes longer than usual.
+/// Capacity that is left for an answer that takes longer than usual.
 const SAFETY: f64 = 1.5;
 /// Assumed time of an answer before the first was seen.
 const UNSEEN: Duration = Duration::from_millis(20);
 
-/// Why a request is refused.
+/// RefusalReason a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum RefusalReason {
     /// It would not be answered before its deadline.
     TooLate,
     /// The queue is full.
@@ -31,14 +31,14 @@
     NoShare,
 }
 
-impl Why {
+impl RefusalReason {
     /// For the caller.
-    pub fn text(self) -> &'static str {
+    pub fn message(self) -> &'static str {
         match self {
-            Why::TooLate => "can't be answered before its deadline",
-            Why::Full => "too many requests wait already",
-            Why::NoInstance => "no instance of the service is live",
-            Why::NoShare => "this entry host has no share of the service's instances yet",
+            RefusalReason::TooLate => "can't be answered before its deadline",
+            RefusalReason::Full => "too many requests wait already",
+            RefusalReason::NoInstance => "no instance of the service is live",
+            RefusalReason::NoShare => "this entry host has no share of the service's instances yet",
         }
     }
 }
@@ -46,15 +46,15 @@
 /// A refusal, before anything was sent to a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
-    pub why: Why,
+    /// RefusalReason.
+    pub reason: RefusalReason,
     /// When to come back, worked out from what waits now.
     pub retry_after: Duration,
 }
 
 /// Who asks for a slot, and until when it is of use.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct SlotRequest {
     /// The team that sent the request.
     pub team: TeamId,
     /// Its class's place in the queue.
@@ -65,18 +65,18 @@
 
 /// What an entry host can do for a service now.
 #[derive(Clone, Copy, Debug)]
-pub struct Room {
+pub struct Capacity {
     /// Requests that it may run at once.
     pub slots: u32,
     /// Whether a slot is free.
     pub free: bool,
     /// The usual time of an answer; `None` before the first.
-    pub answer: Option<Duration>,
+    pub answer_time: Option<Duration>,
 }
 
 /// What becomes of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum Admission {
     /// Take a slot now.
     Run,
     /// Wait; [`Queue::next`] will name the ticket.
@@ -169,34 +169,34 @@
     }
 
     /// Offers a request.
-    pub fn offer(&mut self, ask: &Ask, room: &Room, now: Instant) -> Offer {
-        let answer = room.answer.unwrap_or(UNSEEN);
+    pub fn admit(&mut self, ask: &SlotRequest, room: &Capacity, now: Instant) -> Admission {
+        let answer = room.answer_time.unwrap_or(UNSEEN);
         let ahead = self.ahead(&ask.team, ask.priority);
         if room.free && ahead == 0 {
             return self.run(ask.deadline, answer, now);
         }
         let drain = wait(self.len() + 1, room.slots, answer);
         if room.slots == 0 {
-            return refuse(Why::NoShare, Duration::from_secs(1));
+            return refuse(RefusalReason::NoShare, Duration::from_secs(1));
         }
         if self.len() >= self.most {
-            return refuse(Why::Full, drain);
+            return refuse(RefusalReason::Full, drain);
         }
         let expected = wait(ahead + 1, room.slots, answer) + answer.mul_f64(SAFETY);
         if now + expected > ask.deadline {
-            return refuse(Why::TooLate, drain);
+            return refuse(RefusalReason::TooLate, drain);
         }
         self.last += 1;
         let waiting = Waiting { ticket: self.last, deadline: ask.deadline };
         self.tiers.entry(ask.priority).or_default().push(&ask.team, waiting);
-        Offer::Wait(self.last)
+        Admission::Wait(self.last)
     }
 
-    fn run(&self, deadline: Instant, answer: Duration, now: Instant) -> Offer {
+    fn run(&self, deadline: Instant, answer: Duration, now: Instant) -> Admission {
         if now >= deadline {
-            return refuse(Why::TooLate, answer);
+            return refuse(RefusalReason::TooLate, answer);
         }
-        Offer::Run
+        Admission::Run
     }
 
     fn ahead(&self, team: &TeamId, priority: Priority) -> usize {
@@ -221,7 +221,7 @@
     }
 
     /// Takes a request out whose caller went away or whose deadline came. Tells whether it still waited.
-    pub fn leave(&mut self, ask: &Ask, ticket: Ticket) -> bool {
+    pub fn remove(&mut self, ask: &SlotRequest, ticket: Ticket) -> bool {
         self.tiers.get_mut(&ask.priority).is_some_and(|tier| tier.remove(&ask.team, ticket))
     }
 
@@ -237,6 +237,6 @@
     answer.mul_f64(rounds)
 }
 
-fn refuse(why: Why, retry_after: Duration) -> Offer {
-    Offer::Refused(Refusal { why, retry_after: retry_after.clamp(SOONEST_RETRY, LATEST_RETRY) })
+fn refuse(why: RefusalReason, retry_after: Duration) -> Admission {
+    Admission::Refused(Refusal { reason: why, retry_after: retry_after.clamp(SOONEST_RETRY, LATEST_RETRY) })
 }
--- a/components/request/src/retry.rs
+++ b/components/request/src/retry.rs
@@ -8,22 +8,22 @@
 
 /// Retries that may still be made.
 #[derive(Clone, Copy, Debug)]
-pub struct Budget(f64);
+pub struct RetryBudget(f64);
 
-impl Default for Budget {
+impl Default for RetryBudget {
     fn default() -> Self {
-        Budget(MOST)
+        RetryBudget(MOST)
     }
 }
 
-impl Budget {
+impl RetryBudget {
     /// Notes a success.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.0 = (self.0 + EARNED).min(MOST);
     }
 
     /// Takes one retry; false when none is left.
-    pub fn take(&mut self) -> bool {
+    pub fn try_take(&mut self) -> bool {
         if self.0 < 1.0 {
             return false;
         }
