--- a/components/claim/src/lib.rs
+++ b/components/claim/src/lib.rs
@@ -55,7 +55,7 @@
 }
 
 /// The next step for a partition.
-pub fn step(view: View<'_>) -> Step {
+pub fn next_step(view: View<'_>) -> Step {
     let wins = view.winner == Some(view.own.host.as_str());
     let Some(claim) = view.claim else {
         return if wins { Step::Take(1) } else { Step::Leave };
--- a/components/claim/tests/claim.rs
+++ b/components/claim/tests/claim.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use claim::{Authority, Claim, Owner, Step, View, step};
+use claim::{Authority, Claim, Owner, Step, View, next_step};
 
 fn owner(host: &str, incarnation: u64) -> Owner {
     Owner { host: host.to_owned(), incarnation }
@@ -13,7 +13,7 @@
 }
 
 fn look(claim: Option<&Claim>, winner: &str, owner_live: bool) -> Step {
-    step(View { claim, own: &owner("a", 7), winner: Some(winner), owner_live })
+    next_step(View { claim, own: &owner("a", 7), winner: Some(winner), owner_live })
 }
 
 #[test]
--- a/components/clock/src/lib.rs
+++ b/components/clock/src/lib.rs
@@ -34,19 +34,19 @@
     }
 
     /// Starts to count from now.
-    pub fn start(&self) -> Start {
-        Start { at: self.now(), clock: self.clone() }
+    pub fn start(&self) -> Stopwatch {
+        Stopwatch { at: self.now(), clock: self.clone() }
     }
 }
 
 /// A point of time, to reckon from.
 #[derive(Clone)]
-pub struct Start {
+pub struct Stopwatch {
     clock: Clock,
     at: Duration,
 }
 
-impl Start {
+impl Stopwatch {
     /// Time since then, with suspensions.
     pub fn elapsed(&self) -> Duration {
         self.clock.now().saturating_sub(self.at)
--- a/components/entry/src/host.rs
+++ b/components/entry/src/host.rs
@@ -76,7 +76,7 @@
     /// Its metrics.
     pub metrics: metrics::Jobs,
     /// Zero of its steady clock.
-    pub(crate) started: clock::Start,
+    pub(crate) started: clock::Stopwatch,
     config: watch::Sender<Arc<Config>>,
     /// When it was last known to be the newest, on the steady clock.
     config_known: watch::Sender<Duration>,
--- a/components/facts/src/lib.rs
+++ b/components/facts/src/lib.rs
@@ -102,7 +102,7 @@
     }
 
     /// The version to pull from: 0 for a new life of the host.
-    pub fn since(&self, host: &HostId, incarnation: Incarnation) -> Version {
+    pub fn known_version(&self, host: &HostId, incarnation: Incarnation) -> Version {
         let state = self.state.lock();
         state.views.get(host).filter(|view| view.incarnation == incarnation).map_or(0, |view| view.board.version())
     }
@@ -212,7 +212,7 @@
     ///
     /// `shown` is where the attempt was last told of. Facts that are older than that say nothing: neither those
     /// of an earlier holder, nor those that the same holder published before.
-    pub fn lacks(&self, worker: &WorkerId, task: &Id, attempt: Attempt, shown: Option<&Shown>) -> bool {
+    pub fn is_missing(&self, worker: &WorkerId, task: &Id, attempt: Attempt, shown: Option<&VisibleFrom>) -> bool {
         let state = self.state.lock();
         let Some((epoch, host)) = state.holders.get(worker) else { return false };
         let Some(board) = self.board_of(&state, host) else { return false };
@@ -232,7 +232,7 @@
 
 /// Where an attempt was told of: by the holder of this epoch, in its facts from this version on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Shown {
+pub struct VisibleFrom {
     /// Epoch of the hold.
     pub epoch: Epoch,
     /// Version of the holder's facts that shows it.
--- a/components/facts/tests/facts.rs
+++ b/components/facts/tests/facts.rs
@@ -1,7 +1,7 @@
 //! What can be concluded from facts of several hosts, some of them out of date.
 
 use board::Board;
-use facts::{Change, Facts, Shown};
+use facts::{Change, Facts, VisibleFrom};
 use model::Resources;
 use model::task::{Attempt, Id};
 use wire::{Fact, FactKey, TaskFact, TaskState, WorkerFact};
@@ -48,8 +48,8 @@
     board
 }
 
-fn lacks(facts: &Facts, shown: Option<Shown>) -> bool {
-    facts.lacks(&"w".to_owned(), &id(), ATTEMPT, shown.as_ref())
+fn lacks(facts: &Facts, shown: Option<VisibleFrom>) -> bool {
+    facts.is_missing(&"w".to_owned(), &id(), ATTEMPT, shown.as_ref())
 }
 
 #[test]
@@ -57,11 +57,11 @@
     let facts = Facts::new("a".to_owned());
     facts.apply(&"b".to_owned(), 1, published(4, false).delta(0));
     // The order was committed by the next holder, whose facts have not come yet.
-    assert!(!lacks(&facts, Some(Shown { epoch: 5, version: 9 })));
+    assert!(!lacks(&facts, Some(VisibleFrom { epoch: 5, version: 9 })));
     facts.apply(&"c".to_owned(), 1, published(5, false).delta(0));
-    assert!(!lacks(&facts, Some(Shown { epoch: 5, version: 9 })), "older than what shows it");
-    assert!(lacks(&facts, Some(Shown { epoch: 5, version: 1 })));
-    assert!(lacks(&facts, Some(Shown { epoch: 4, version: 1 })), "the next holder has the whole inventory");
+    assert!(!lacks(&facts, Some(VisibleFrom { epoch: 5, version: 9 })), "older than what shows it");
+    assert!(lacks(&facts, Some(VisibleFrom { epoch: 5, version: 1 })));
+    assert!(lacks(&facts, Some(VisibleFrom { epoch: 4, version: 1 })), "the next holder has the whole inventory");
 }
 
 #[test]
@@ -79,7 +79,7 @@
     let facts = Facts::new("a".to_owned());
     facts.apply(&"b".to_owned(), 1, published(4, true).delta(0));
     assert_eq!(facts.tasks().len(), 1);
-    assert_eq!(facts.since(&"b".to_owned(), 2), 0, "a new life is pulled whole");
+    assert_eq!(facts.known_version(&"b".to_owned(), 2), 0, "a new life is pulled whole");
     facts.apply(&"b".to_owned(), 2, published(5, false).delta(0));
     assert!(facts.tasks().is_empty());
 }
--- a/components/fakes/src/worker.rs
+++ b/components/fakes/src/worker.rs
@@ -13,7 +13,7 @@
 use model::{Epoch, HostId, Incarnation, Resources};
 use parking_lot::Mutex;
 use web::Body;
-use worker::{Batch, Command, Hold, Refusal, Report, Run, Task};
+use worker::{AttemptReport, AttemptState, Batch, Command, Hold, Refusal, Report};
 
 use crate::backend::Backend;
 
@@ -33,7 +33,7 @@
 }
 
 struct Running {
-    task: Task,
+    task: AttemptReport,
     started_at: Instant,
     saved_at: Instant,
     lease_until: Duration,
@@ -152,7 +152,7 @@
 }
 
 fn ended(running: &Running) -> bool {
-    matches!(running.task.run, Run::Ended { .. })
+    matches!(running.task.run, AttemptState::Ended { .. })
 }
 
 async fn tick(state: Arc<Mutex<State>>) {
@@ -183,7 +183,7 @@
     if let Some(backend) = running.backend.take() {
         backend.stop();
     }
-    running.task.run = Run::Ended { end };
+    running.task.run = AttemptState::Ended { end };
 }
 
 async fn answer(state: Arc<Mutex<State>>, request: Request<Incoming>) -> Response<Body> {
@@ -259,8 +259,8 @@
             state.starts.push(key.clone());
             let failure = failure_of(state.conduct, &run);
             let address = server.as_ref().map(Backend::address);
-            let run_now = failure.map_or(Run::Running { address }, |end| Run::Ended { end });
-            let task = Task { task, attempt, resources, patient, run: run_now, unsaved_ms: 0, usage: None };
+            let run_now = failure.map_or(AttemptState::Running { address }, |end| AttemptState::Ended { end });
+            let task = AttemptReport { task, attempt, resources, patient, run: run_now, unsaved_ms: 0, usage: None };
             let ends_after = time_of(&run);
             let running = Running {
                 task,
@@ -294,8 +294,9 @@
         }
         return;
     }
-    let run = Run::Ended { end: End::Stopped };
-    let task = Task { task, attempt, resources: Resources::ZERO, patient: false, run, unsaved_ms: 0, usage: None };
+    let run = AttemptState::Ended { end: End::Stopped };
+    let task =
+        AttemptReport { task, attempt, resources: Resources::ZERO, patient: false, run, unsaved_ms: 0, usage: None };
     let running = Running {
         task,
         started_at: Instant::now(),
@@ -329,8 +330,8 @@
     }
 }
 
-fn reported(running: &Running) -> Task {
-    Task { unsaved_ms: running.saved_at.elapsed().as_millis() as u64, ..running.task.clone() }
+fn reported(running: &Running) -> AttemptReport {
+    AttemptReport { unsaved_ms: running.saved_at.elapsed().as_millis() as u64, ..running.task.clone() }
 }
 
 fn failure_of(conduct: Conduct, run: &str) -> Option<End> {
--- a/components/jobs/tests/two_places.rs
+++ b/components/jobs/tests/two_places.rs
@@ -13,7 +13,7 @@
 use proptest::prelude::*;
 use support::versioned;
 use wire::{Fact, FactKey, StartOrder};
-use worker::{Command, Report, Run, Task};
+use worker::{AttemptReport, AttemptState, Command, Report};
 
 const WORKERS: usize = 3;
 const TASKS: u32 = 4;
@@ -21,12 +21,12 @@
 
 /// A worker with its holder's ledger.
 struct Held {
-    tasks: BTreeMap<(Id, Attempt), Task>,
+    tasks: BTreeMap<(Id, Attempt), AttemptReport>,
     incarnation: u64,
     ledger: Ledger,
 }
 
-fn report(tasks: &BTreeMap<(Id, Attempt), Task>, incarnation: u64) -> Report {
+fn report(tasks: &BTreeMap<(Id, Attempt), AttemptReport>, incarnation: u64) -> Report {
     let capacity = Resources::new(16, 65536, 0);
     Report { incarnation, stamp_ms: 0, capacity, leaving: false, tasks: tasks.values().cloned().collect() }
 }
@@ -42,11 +42,11 @@
         for command in commands {
             match command {
                 Command::Start { task, attempt, resources, .. } => {
-                    let fresh = || found(task, *attempt, *resources, Run::Running { address: None });
+                    let fresh = || found(task, *attempt, *resources, AttemptState::Running { address: None });
                     self.tasks.entry((task.clone(), *attempt)).or_insert_with(fresh);
                 }
                 Command::Stop { task, attempt } => {
-                    let stopped = || found(task, *attempt, Resources::ZERO, Run::Ended { end: End::Stopped });
+                    let stopped = || found(task, *attempt, Resources::ZERO, AttemptState::Ended { end: End::Stopped });
                     self.tasks.entry((task.clone(), *attempt)).or_insert_with(stopped);
                     self.end(task, Some(*attempt), End::Stopped);
                 }
@@ -61,8 +61,8 @@
     fn end(&mut self, task: &Id, attempt: Option<Attempt>, end: End) {
         for ((id, number), found) in &mut self.tasks {
             let meant = id == task && attempt.is_none_or(|attempt| attempt == *number);
-            if meant && !matches!(found.run, Run::Ended { .. }) {
-                found.run = Run::Ended { end: end.clone() };
+            if meant && !matches!(found.run, AttemptState::Ended { .. }) {
+                found.run = AttemptState::Ended { end: end.clone() };
             }
         }
     }
@@ -81,8 +81,8 @@
     }
 }
 
-fn found(task: &Id, attempt: Attempt, resources: Resources, run: Run) -> Task {
-    Task { task: task.clone(), attempt, resources, patient: false, run, unsaved_ms: 0, usage: None }
+fn found(task: &Id, attempt: Attempt, resources: Resources, run: AttemptState) -> AttemptReport {
+    AttemptReport { task: task.clone(), attempt, resources, patient: false, run, unsaved_ms: 0, usage: None }
 }
 
 struct World {
@@ -192,7 +192,7 @@
         let mut seen: BTreeSet<&Id> = BTreeSet::new();
         for held in &self.workers {
             for found in held.tasks.values() {
-                if !matches!(found.run, Run::Ended { .. }) {
+                if !matches!(found.run, AttemptState::Ended { .. }) {
                     prop_assert!(seen.insert(&found.task), "{} runs in two places", found.task);
                 }
             }
--- a/components/ledger/examples/decisions.rs
+++ b/components/ledger/examples/decisions.rs
@@ -11,7 +11,7 @@
 use model::Resources;
 use model::task::{Attempt, Id};
 use model::workload::Kind;
-use place::{Cell, Choice, Demand, Policy, Siblings, Worker, choose};
+use place::{Choice, Demand, Policy, Siblings, Worker, WorkerTable, choose};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use wire::StartOrder;
@@ -21,8 +21,8 @@
 const LIMITS: Limits = Limits { lease: Duration::from_secs(15), margin: Duration::from_secs(2) };
 const SEED: u64 = 7;
 
-fn cell(workers: usize, racks: usize) -> Cell {
-    Cell::new((0..workers).map(|at| Worker {
+fn cell(workers: usize, racks: usize) -> WorkerTable {
+    WorkerTable::new((0..workers).map(|at| Worker {
         id: format!("w-{at}"),
         rack: format!("r-{}", at % racks.max(1)),
         capacity: CAPACITY,
@@ -31,12 +31,12 @@
     }))
 }
 
-fn ledgers(cell: &Cell, now: Instant) -> Vec<Ledger> {
+fn ledgers(cell: &WorkerTable, now: Instant) -> Vec<Ledger> {
     let report = || Report { incarnation: 1, stamp_ms: 0, capacity: CAPACITY, leaving: false, tasks: Vec::new() };
     (0..cell.len()).map(|at| Ledger::open(cell.id(at).clone(), 1, report(), LIMITS, now)).collect()
 }
 
-fn order(cell: &Cell, at: usize, number: u32, each: Resources) -> StartOrder {
+fn order(cell: &WorkerTable, at: usize, number: u32, each: Resources) -> StartOrder {
     let task = Id { workload: "bench".to_owned(), life: 1, data_centre: "gt-1".to_owned(), index: number };
     StartOrder {
         worker: cell.id(at).clone(),
@@ -74,7 +74,7 @@
         if let Choice::Placed(at) = choose(&cell, &demand, &Siblings::default()) {
             number += 1;
             let order = order(&cell, at, number, each);
-            cell.take(at, &each);
+            cell.allocate(at, &each);
             assert_eq!(ledgers[at].commit(&order, now), Commit::Accepted);
             live.push_back((at, order));
         }
@@ -86,7 +86,7 @@
             ledgers[at].stop(&order.task, order.attempt, now);
             ledgers[at].acknowledge(&order.task, order.attempt);
             ledgers[at].forget(&order.task, order.attempt);
-            cell.give(at, &order.resources);
+            cell.release(at, &order.resources);
         }
     }
     times.sort();
@@ -126,7 +126,7 @@
     loop {
         let demand = Demand { policy, ..shape(shapes, &mut random) };
         let Choice::Placed(at) = choose(&cell, &demand, &siblings) else { break };
-        cell.take(at, &demand.each);
+        cell.allocate(at, &demand.each);
         if demand.kind == Kind::Service {
             siblings.add(&cell, at);
         }
--- a/components/ledger/src/book.rs
+++ b/components/ledger/src/book.rs
@@ -6,7 +6,7 @@
 use model::task::{Attempt, End, Id};
 use model::{Epoch, Incarnation, Resources, WorkerId, WorkloadId};
 use wire::{Fact, FactKey, ReserveOrder, StartOrder, TaskFact, TaskState, WorkerFact};
-use worker::{Command, Report, Run};
+use worker::{AttemptState, Command, Report};
 
 use crate::reserve::Reservations;
 use crate::trust::Trust;
@@ -295,7 +295,7 @@
         self.incarnation = report.incarnation;
         self.capacity = report.capacity;
         self.leaving = report.leaving;
-        let mut found: BTreeMap<Key, worker::Task> = BTreeMap::new();
+        let mut found: BTreeMap<Key, worker::AttemptReport> = BTreeMap::new();
         for task in report.tasks {
             found.insert((task.task.clone(), task.attempt), task);
         }
@@ -308,7 +308,7 @@
     }
 
     /// Attempts that the worker should have and does not: they have ended with the worker's earlier life.
-    fn missing(&mut self, found: &BTreeMap<Key, worker::Task>) -> Vec<Ended> {
+    fn missing(&mut self, found: &BTreeMap<Key, worker::AttemptReport>) -> Vec<Ended> {
         let mut ended = Vec::new();
         for (key, entry) in &mut self.entries {
             let unsent = entry.start.is_some() || entry.stop.is_some();
@@ -321,7 +321,7 @@
         ended
     }
 
-    fn reported(&mut self, key: Key, task: worker::Task) -> Option<Ended> {
+    fn reported(&mut self, key: Key, task: worker::AttemptReport) -> Option<Ended> {
         let entry = self.entries.entry(key.clone()).or_insert_with(|| Entry {
             resources: task.resources,
             patient: task.patient,
@@ -331,7 +331,7 @@
             stop: None,
             stop_sent: false,
             unsaved: 0,
-            service: matches!(task.run, Run::Running { address: Some(_) }),
+            service: matches!(task.run, AttemptState::Running { address: Some(_) }),
             acknowledged: false,
             trial: false,
         });
@@ -341,9 +341,9 @@
         }
         entry.unsaved = power_of_seconds(task.unsaved_ms);
         match task.run {
-            Run::Running { address } if entry.stop.is_none() => entry.state = TaskState::Running(address),
-            Run::Running { .. } | Run::Stopping => entry.state = TaskState::Stopping,
-            Run::Ended { end } => {
+            AttemptState::Running { address } if entry.stop.is_none() => entry.state = TaskState::Running(address),
+            AttemptState::Running { .. } | AttemptState::Stopping => entry.state = TaskState::Stopping,
+            AttemptState::Ended { end } => {
                 entry.state = TaskState::Ended(end.clone());
                 return Some(Ended { task: key.0, attempt: key.1, end });
             }
--- a/components/ledger/tests/ledger.rs
+++ b/components/ledger/tests/ledger.rs
@@ -8,7 +8,7 @@
 use model::task::{Attempt, End, Id};
 use proptest::prelude::*;
 use wire::{Fact, FactKey, ReserveOrder, StartOrder, TaskState};
-use worker::{Command, Report, Run, Task};
+use worker::{AttemptReport, AttemptState, Command, Report};
 
 const LIMITS: Limits = Limits { lease: Duration::from_secs(15), margin: Duration::from_secs(1) };
 
@@ -32,13 +32,13 @@
     }
 }
 
-fn report(tasks: Vec<Task>) -> Report {
+fn report(tasks: Vec<AttemptReport>) -> Report {
     Report { incarnation: 1, stamp_ms: 0, capacity: Resources::new(16, 65536, 0), leaving: false, tasks }
 }
 
-fn found(workload: &str, index: u32, number: u32, cores: u32, run: Run) -> Task {
+fn found(workload: &str, index: u32, number: u32, cores: u32, run: AttemptState) -> AttemptReport {
     let resources = Resources::new(cores, cores * 1024, 0);
-    Task {
+    AttemptReport {
         task: task(workload, index),
         attempt: attempt(number),
         resources,
@@ -49,11 +49,11 @@
     }
 }
 
-fn running() -> Run {
-    Run::Running { address: None }
+fn running() -> AttemptState {
+    AttemptState::Running { address: None }
 }
 
-fn open(tasks: Vec<Task>, now: Instant) -> Ledger {
+fn open(tasks: Vec<AttemptReport>, now: Instant) -> Ledger {
     Ledger::open("w".to_owned(), 3, report(tasks), LIMITS, now)
 }
 
@@ -127,7 +127,7 @@
 #[test]
 fn an_end_is_kept_until_it_is_acknowledged() {
     let now = Instant::now();
-    let ended = || report(vec![found("a", 0, 1, 4, Run::Ended { end: End::Finished })]);
+    let ended = || report(vec![found("a", 0, 1, 4, AttemptState::Ended { end: End::Finished })]);
     let mut ledger = open(vec![found("a", 0, 1, 4, running())], now);
     assert_eq!(ledger.batch_answered(&[], ended(), now).len(), 1);
     assert!(ledger.batch_answered(&[], ended(), now).is_empty(), "told once");
@@ -164,7 +164,7 @@
 fn a_worker_that_fails_different_workloads_gets_one_trial_at_a_time() {
     let start = Instant::now();
     let failed = |workload: &str| {
-        found(workload, 0, 1, 1, Run::Ended { end: End::Failed { message: "no such device".to_owned() } })
+        found(workload, 0, 1, 1, AttemptState::Ended { end: End::Failed { message: "no such device".to_owned() } })
     };
     let mut ledger = open(Vec::new(), start);
     ledger.batch_answered(&[], report(vec![failed("a"), failed("b")]), start);
@@ -175,7 +175,7 @@
     let later = start + Duration::from_secs(11);
     assert_eq!(ledger.commit(&order("d", 0, 1, 1), later), Commit::Accepted);
     assert_eq!(ledger.commit(&order("e", 0, 1, 1), later), Commit::Closed, "one trial at a time");
-    let good = report(vec![found("d", 0, 1, 1, Run::Ended { end: End::Finished })]);
+    let good = report(vec![found("d", 0, 1, 1, AttemptState::Ended { end: End::Finished })]);
     let commands = ledger.commands(later);
     ledger.batch_answered(&commands, good, later);
     assert!(!ledger.on_probation(), "it passed its trial");
@@ -224,7 +224,7 @@
 fn a_service_instance_is_stopped_only_after_callers_were_led_elsewhere() {
     let now = Instant::now();
     let address = Some("127.0.0.1:1".parse().unwrap());
-    let mut ledger = open(vec![found("planner", 0, 1, 1, Run::Running { address })], now);
+    let mut ledger = open(vec![found("planner", 0, 1, 1, AttemptState::Running { address })], now);
     ledger.stop(&task("planner", 0), attempt(1), now);
     assert_eq!(state(&ledger, "planner"), Some(TaskState::Stopping), "told to the peers at once");
     assert!(ledger.commands(now).is_empty());
@@ -237,7 +237,7 @@
 /// A worker reduced to what the ledger can see of it.
 #[derive(Default)]
 struct Double {
-    tasks: BTreeMap<(Id, Attempt), Task>,
+    tasks: BTreeMap<(Id, Attempt), AttemptReport>,
 }
 
 impl Double {
@@ -246,7 +246,7 @@
             match command {
                 Command::Start { task, attempt, resources, .. } => {
                     let key = (task.clone(), *attempt);
-                    self.tasks.entry(key).or_insert_with(|| Task {
+                    self.tasks.entry(key).or_insert_with(|| AttemptReport {
                         task: task.clone(),
                         attempt: *attempt,
                         resources: *resources,
@@ -267,9 +267,9 @@
 
     fn end(&mut self, key: &(Id, Attempt), end: End) {
         if let Some(task) = self.tasks.get_mut(key)
-            && !matches!(task.run, Run::Ended { .. })
+            && !matches!(task.run, AttemptState::Ended { .. })
         {
-            task.run = Run::Ended { end };
+            task.run = AttemptState::Ended { end };
         }
     }
 
@@ -278,7 +278,7 @@
     }
 
     fn committed(&self) -> Resources {
-        let live = self.tasks.values().filter(|task| !matches!(task.run, Run::Ended { .. }));
+        let live = self.tasks.values().filter(|task| !matches!(task.run, AttemptState::Ended { .. }));
         live.fold(Resources::ZERO, |sum, task| sum.checked_add(&task.resources).unwrap())
     }
 }
--- a/components/node/src/claims.rs
+++ b/components/node/src/claims.rs
@@ -45,7 +45,7 @@
             winner: member::winner(&key, hosts.iter().map(String::as_str)),
             owner_live: claim.as_ref().is_some_and(|claim| owner_live(shared, claim)),
         };
-        match claim::step(view) {
+        match claim::next_step(view) {
             Step::Leave => drop_lost(shared, number),
             Step::Release if !settled && shared.membership.presence() == Presence::Serving => {}
             step => steps.push((number, step)),
--- a/components/node/src/commands.rs
+++ b/components/node/src/commands.rs
@@ -8,7 +8,7 @@
 use member::rank;
 use model::workload::{Intent, Kind, Priority, Record, Versioned, Workload, split_tasks};
 use model::{CommandId, DataCentreId, Reason, Resources, Revision, units};
-use place::{Cell, Worker};
+use place::{Worker, WorkerTable};
 use query::{Assignment, Statement, Subject};
 use serde::Deserialize;
 use store::Use;
@@ -211,10 +211,10 @@
 /// Divides a workload among the data centres that have a worker large enough for one task.
 fn shares(shared: &Shared, workload: &Workload) -> Result<BTreeMap<DataCentreId, u32>, String> {
     let workers = shared.listing.all_workers();
-    let mut cell = Cell::default();
+    let mut cell = WorkerTable::default();
     for (id, listed) in &workers {
         let (capacity, rack) = (listed.capacity, listed.rack.clone());
-        cell.put(Worker { id: id.clone(), rack, capacity, free: capacity, open: true });
+        cell.upsert(Worker { id: id.clone(), rack, capacity, free: capacity, open: true });
     }
     if let Some(reason @ Reason::NeverFits { .. }) = place::never_fits(&cell, &workload.each) {
         return Err(format!("workload {}: {reason}", workload.name));
--- a/components/node/src/holds.rs
+++ b/components/node/src/holds.rs
@@ -15,7 +15,7 @@
     Answer, Fact, FactKey, Inventoried, InventoryAnswer, Listed, ListedKind, Request, ReserveOrder, StartAnswer,
     StartOrder, StopOrder,
 };
-use worker::{Batch, Client, Fault, Hold, Worker};
+use worker::{Batch, Client, Hold, Worker, WorkerError};
 
 use crate::shared::Shared;
 
@@ -147,7 +147,7 @@
     let report = match outcome {
         Ok(report) => report,
         Err(fault) => {
-            if let Fault::Superseded(refusal) = fault {
+            if let WorkerError::Superseded(refusal) = fault {
                 shared.holds.refused.lock().insert(worker.clone(), refusal.epoch);
             } else {
                 shared.holds.pausing.lock().insert(worker, now + AGAIN);
@@ -223,7 +223,7 @@
             note_recovery(shared, worker, held, before);
             note_ends(shared, &ended);
         }
-        Err(Fault::Superseded(refusal)) => {
+        Err(WorkerError::Superseded(refusal)) => {
             events::emit!(shared.log, events::WORKER_SUPERSEDED, "worker" => worker, "by" => refusal.holder);
             shared.holds.refused.lock().insert(worker.clone(), refusal.epoch);
             return false;
--- a/components/node/src/owner.rs
+++ b/components/node/src/owner.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use claim::Authority;
-use facts::{Change, Shown};
+use facts::{Change, VisibleFrom};
 use futures_util::future::join_all;
 use jobs::{Book, Note};
 use model::task::{Attempt, Id};
@@ -31,7 +31,7 @@
     /// Revision of the record that claims it: the next change compares with it.
     pub(crate) revision: Revision,
     /// Where each attempt was last told of.
-    pub(crate) shown: HashMap<(Id, Attempt), Shown>,
+    pub(crate) shown: HashMap<(Id, Attempt), VisibleFrom>,
     pub(crate) compared_at: Instant,
     /// Lives of workloads that the platform does not have (any more): their attempts may be stopped.
     pub(crate) unrecorded: BTreeSet<(WorkloadId, u32)>,
@@ -129,7 +129,7 @@
         let mut gone = Vec::new();
         for (task, attempt, worker) in owned.book.may_live() {
             let shown = owned.shown.get(&(task.clone(), attempt));
-            if shared.facts.lacks(worker, &task, attempt, shown) {
+            if shared.facts.is_missing(worker, &task, attempt, shown) {
                 gone.push((task, attempt));
             }
         }
@@ -239,7 +239,7 @@
 }
 
 /// Takes in what became of orders.
-pub(crate) fn committed(owned: &mut Owned, task: &Id, attempt: Attempt, shown: Shown, now: Instant) {
+pub(crate) fn committed(owned: &mut Owned, task: &Id, attempt: Attempt, shown: VisibleFrom, now: Instant) {
     owned.shown.insert((task.clone(), attempt), shown);
     owned.book.committed(task, attempt, now);
 }
--- a/components/node/src/pull.rs
+++ b/components/node/src/pull.rs
@@ -26,7 +26,7 @@
 }
 
 async fn pull(shared: &Arc<Shared>, member: member::Member) {
-    let since = shared.facts.since(&member.peer.host, member.incarnation);
+    let since = shared.facts.known_version(&member.peer.host, member.incarnation);
     let answer = shared.links.call(member.peer.peers, &Request::Facts { since }).await;
     let Ok(Answer::Facts(delta)) = answer else { return };
     let changed = shared.facts.apply(&member.peer.host, member.incarnation, delta);
--- a/components/node/src/recovery.rs
+++ b/components/node/src/recovery.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use claim::Claim;
-use facts::Shown;
+use facts::VisibleFrom;
 use futures_util::future::join_all;
 use model::task::Id;
 use model::workload::Record;
@@ -112,7 +112,7 @@
     let epochs: HashMap<&WorkerId, u64> = inventory.workers.iter().map(|(worker, epoch)| (worker, *epoch)).collect();
     for found in &inventory.tasks {
         let Some(epoch) = epochs.get(&found.fact.worker) else { continue };
-        let shown = Shown { epoch: *epoch, version: inventory.version };
+        let shown = VisibleFrom { epoch: *epoch, version: inventory.version };
         let key = (found.task.clone(), found.attempt);
         // Two hosts may both tell of a worker that is moving between them: the later hold counts.
         if owned.shown.get(&key).is_some_and(|known| known.epoch > shown.epoch) {
--- a/components/node/src/schedule.rs
+++ b/components/node/src/schedule.rs
@@ -8,7 +8,7 @@
 use model::task::{Attempt, Id};
 use model::workload::{Kind, Workload};
 use model::{Epoch, Partition, Reason, Resources, TeamId, WorkerId, WorkloadId};
-use place::{Cell, Choice, Demand, Policy, Refusals, Siblings, Usage, Worker};
+use place::{Choice, Demand, Policy, Refusals, Siblings, Usage, Worker, WorkerTable};
 use wire::{ReserveOrder, StartOrder, TaskFact, TaskState};
 
 use crate::room::{Keeping, make_room, reservation, use_kept};
@@ -38,7 +38,7 @@
 /// The view that one pass decides on.
 pub(crate) struct Pass {
     pub(crate) now: Instant,
-    pub(crate) cell: Cell,
+    pub(crate) cell: WorkerTable,
     usage: HashMap<TeamId, Usage>,
     pub(crate) tasks: Vec<(Id, Attempt, TaskFact)>,
     total: Resources,
@@ -108,11 +108,11 @@
     fn new(shared: &Shared, now: Instant) -> Pass {
         let workers = shared.facts.workers();
         let mut total = Resources::ZERO;
-        let mut cell = Cell::default();
+        let mut cell = WorkerTable::default();
         for (id, _, fact) in workers {
             let Some(listed) = shared.listing.get(&id) else { continue };
             total = total.checked_add(&fact.capacity).unwrap_or(total);
-            cell.put(Worker { id, rack: listed.rack, capacity: fact.capacity, free: fact.free, open: fact.open });
+            cell.upsert(Worker { id, rack: listed.rack, capacity: fact.capacity, free: fact.free, open: fact.open });
         }
         let tasks = shared.facts.tasks();
         let usage = usage(shared, &tasks);
@@ -120,9 +120,9 @@
     }
 
     fn order(&self, waiting: &[Waiting]) -> Vec<usize> {
-        let claimants: Vec<place::Claimant> = waiting
+        let claimants: Vec<place::WaitingWork> = waiting
             .iter()
-            .map(|one| place::Claimant {
+            .map(|one| place::WaitingWork {
                 workload: one.workload.name.clone(),
                 team: one.workload.team.clone(),
                 priority: one.workload.priority,
@@ -239,7 +239,7 @@
         let choice = place::choose(&pass.cell, &demand, &siblings);
         shared.metrics.decision_seconds.observe(began.elapsed().as_secs_f64());
         let Choice::Placed(at) = choice else {
-            pass.refusals.note(workload.each, &choice, one.avoided.is_empty());
+            pass.refusals.record(workload.each, &choice, one.avoided.is_empty());
             return Some(choice);
         };
         if !order_one(shared, pass, one, *position, at, orders) {
@@ -286,7 +286,7 @@
         current.then(|| owned.book.order(&one.workload.name, position, &worker, now)).flatten()
     });
     let Some(order) = order.flatten() else { return false };
-    pass.cell.take(at, &one.workload.each);
+    pass.cell.allocate(at, &one.workload.each);
     pass.spend(&one.workload.team, &one.workload.each);
     orders.entry((one.partition, one.epoch)).or_default().push(order);
     true
@@ -301,14 +301,14 @@
         return Some(pass.over_quota(&workload.team));
     }
     let began = Instant::now();
-    let placed = place::gang(&mut pass.cell, &demand(workload), count as u32);
+    let placed = place::choose_gang(&mut pass.cell, &demand(workload), count as u32);
     shared.metrics.decision_seconds.observe(began.elapsed().as_secs_f64());
     let places = match placed {
         Ok(places) => places,
         Err(choice) => return Some(choice),
     };
     for at in &places {
-        pass.cell.give(*at, &workload.each);
+        pass.cell.release(*at, &workload.each);
     }
     let reservations = keep(pass, one, &places);
     let asked = reservations.len();
--- a/components/node/src/send.rs
+++ b/components/node/src/send.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use facts::Shown;
+use facts::VisibleFrom;
 use futures_util::future::join_all;
 use model::{Epoch, HostId, Partition, Reason, WorkerId};
 use wire::{Answer, Request, ReserveOrder, StartAnswer, StartOrder, StopOrder};
@@ -59,7 +59,7 @@
         for (order, answer) in orders.iter().zip(answers) {
             let reason = match answer {
                 StartAnswer::Accepted(epoch) => {
-                    let shown = Shown { epoch: *epoch, version };
+                    let shown = VisibleFrom { epoch: *epoch, version };
                     owner::committed(owned, &order.task, order.attempt, shown, now);
                     continue;
                 }
--- a/components/place/src/choose.rs
+++ b/components/place/src/choose.rs
@@ -5,7 +5,7 @@
 use model::workload::Kind;
 use model::{Reason, Resources};
 
-use crate::cell::{Cell, Slot, WorkerIndex};
+use crate::worker_table::{Slot, WorkerIndex, WorkerTable};
 
 /// How workers with room are ranked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,7 +38,7 @@
 
 impl Siblings {
     /// Counts an instance on a worker.
-    pub fn add(&mut self, cell: &Cell, at: WorkerIndex) {
+    pub fn add(&mut self, cell: &WorkerTable, at: WorkerIndex) {
         *self.workers.entry(at).or_default() += 1;
         *self.racks.entry(cell.rack(at)).or_default() += 1;
     }
@@ -62,7 +62,7 @@
 }
 
 /// Chooses a worker for one task. Takes nothing.
-pub fn choose(cell: &Cell, demand: &Demand, siblings: &Siblings) -> Choice {
+pub fn choose(cell: &WorkerTable, demand: &Demand, siblings: &Siblings) -> Choice {
     match best(cell, demand, siblings) {
         Some(at) => Choice::Placed(at),
         None => refusal(cell, &demand.each),
@@ -70,23 +70,23 @@
 }
 
 /// Chooses workers for all tasks of a gang and takes their room; takes nothing when one does not fit.
-pub fn gang(cell: &mut Cell, demand: &Demand, count: u32) -> Result<Vec<WorkerIndex>, Choice> {
+pub fn choose_gang(cell: &mut WorkerTable, demand: &Demand, count: u32) -> Result<Vec<WorkerIndex>, Choice> {
     let siblings = Siblings::default();
     let mut taken = Vec::with_capacity(count as usize);
     for _ in 0..count {
         let Some(at) = best(cell, demand, &siblings) else {
             for at in &taken {
-                cell.give(*at, &demand.each);
+                cell.release(*at, &demand.each);
             }
             return Err(incomplete(cell, demand, count, taken.len() as u32));
         };
-        cell.take(at, &demand.each);
+        cell.allocate(at, &demand.each);
         taken.push(at);
     }
     Ok(taken)
 }
 
-fn incomplete(cell: &Cell, demand: &Demand, needed: u32, fitting: u32) -> Choice {
+fn incomplete(cell: &WorkerTable, demand: &Demand, needed: u32, fitting: u32) -> Choice {
     if let Some(reason) = never_fits(cell, &demand.each) {
         return Choice::Impossible(reason);
     }
@@ -94,7 +94,7 @@
     Choice::Waiting(Reason::GangIncomplete { fitting, needed })
 }
 
-fn best(cell: &Cell, demand: &Demand, siblings: &Siblings) -> Option<WorkerIndex> {
+fn best(cell: &WorkerTable, demand: &Demand, siblings: &Siblings) -> Option<WorkerIndex> {
     let slots = cell.slots.iter().enumerate();
     let with_room = slots.filter(|(_, slot)| slot.open && demand.each.fits_in(&slot.free));
     match (demand.policy, demand.kind) {
@@ -147,7 +147,7 @@
 }
 
 /// Why nothing was found; scans again, since a refusal is rarer than a placement.
-fn refusal(cell: &Cell, each: &Resources) -> Choice {
+fn refusal(cell: &WorkerTable, each: &Resources) -> Choice {
     if cell.is_empty() {
         return Choice::Waiting(Reason::NoWorkers);
     }
@@ -163,7 +163,7 @@
 }
 
 /// The reason when no worker, however empty, is large enough; `None` when one is, or none is known.
-pub fn never_fits(cell: &Cell, each: &Resources) -> Option<Reason> {
+pub fn never_fits(cell: &WorkerTable, each: &Resources) -> Option<Reason> {
     if cell.slots.iter().any(|slot| each.fits_in(&slot.capacity)) {
         return None;
     }
--- a/components/place/src/lib.rs
+++ b/components/place/src/lib.rs
@@ -6,14 +6,14 @@
 // Off until its wording is done.
 #![allow(clippy::missing_errors_doc, clippy::missing_panics_doc)]
 
-mod cell;
 mod choose;
 mod order;
 mod preempt;
 mod refusals;
+mod worker_table;
 
-pub use cell::{Cell, Worker, WorkerIndex};
-pub use choose::{Choice, Demand, Policy, Siblings, choose, gang, never_fits};
-pub use order::{Claimant, Rank, Usage, order};
+pub use choose::{Choice, Demand, Policy, Siblings, choose, choose_gang, never_fits};
+pub use order::{Rank, Usage, WaitingWork, order};
 pub use preempt::{Candidate, Preemption, Victim, preempt};
 pub use refusals::Refusals;
+pub use worker_table::{Worker, WorkerIndex, WorkerTable};
--- a/components/place/src/order.rs
+++ b/components/place/src/order.rs
@@ -8,7 +8,7 @@
 use model::{Resources, TeamId, WorkloadId};
 
 /// Patient and normal work that has waited for so long goes before its class, whatever its team uses.
-pub const STARVING: Duration = Duration::from_secs(600);
+pub const STARVATION_AGE: Duration = Duration::from_secs(600);
 
 /// What a team has committed, and what it may.
 #[derive(Clone, Copy, Debug, Default)]
@@ -29,7 +29,7 @@
 
 /// Work that waits.
 #[derive(Clone, Debug)]
-pub struct Claimant {
+pub struct WaitingWork {
     /// Its workload.
     pub workload: WorkloadId,
     /// The team that it counts for.
@@ -52,7 +52,7 @@
 /// Ranks claimants, the first to be looked at first.
 ///
 /// Within a priority the team with the smallest dominant share of `total` goes first, then the longest wait.
-pub fn order(claimants: &[Claimant], usage: &HashMap<TeamId, Usage>, total: &Resources) -> Vec<usize> {
+pub fn order(claimants: &[WaitingWork], usage: &HashMap<TeamId, Usage>, total: &Resources) -> Vec<usize> {
     let mut positions: Vec<(Rank, usize)> = Vec::with_capacity(claimants.len());
     for (at, claimant) in claimants.iter().enumerate() {
         let used = usage.get(&claimant.team).map(|usage| usage.used).unwrap_or_default();
@@ -64,9 +64,9 @@
     positions.into_iter().map(|(_, at)| at).collect()
 }
 
-fn rank(claimant: &Claimant, share: f64) -> Rank {
+fn rank(claimant: &WaitingWork, share: f64) -> Rank {
     let waited = -claimant.waited.as_secs_f64();
-    let starving = claimant.waited >= STARVING;
+    let starving = claimant.waited >= STARVATION_AGE;
     match claimant.priority {
         Priority::Urgent => Rank { tier: 0, share, waited },
         // The starving are in order of age alone: no team's small use may pass them for ever.
--- a/components/place/src/refusals.rs
+++ b/components/place/src/refusals.rs
@@ -11,7 +11,7 @@
 impl Refusals {
     /// Notes a refusal. `whole_cell` tells whether all workers were open to it: a refusal by a part of them says
     /// nothing to others.
-    pub fn note(&mut self, each: Resources, choice: &Choice, whole_cell: bool) {
+    pub fn record(&mut self, each: Resources, choice: &Choice, whole_cell: bool) {
         if whole_cell {
             self.0.push((each, choice.clone()));
         }
--- a/components/place/src/cell.rs
+++ b/components/place/src/worker_table.rs
@@ -33,25 +33,25 @@
 
 /// The workers of one data centre.
 #[derive(Clone, Debug, Default)]
-pub struct Cell {
+pub struct WorkerTable {
     pub(crate) slots: Vec<Slot>,
     ids: Vec<WorkerId>,
     index: HashMap<WorkerId, WorkerIndex>,
     racks: HashMap<RackId, u32>,
 }
 
-impl Cell {
+impl WorkerTable {
     /// Creates a cell; the order of the workers breaks ties.
-    pub fn new(workers: impl IntoIterator<Item = Worker>) -> Cell {
-        let mut cell = Cell::default();
+    pub fn new(workers: impl IntoIterator<Item = Worker>) -> WorkerTable {
+        let mut cell = WorkerTable::default();
         for worker in workers {
-            cell.put(worker);
+            cell.upsert(worker);
         }
         cell
     }
 
     /// Adds a worker, or replaces what is known of it.
-    pub fn put(&mut self, worker: Worker) -> WorkerIndex {
+    pub fn upsert(&mut self, worker: Worker) -> WorkerIndex {
         let next_rack = self.racks.len() as u32;
         let rack = *self.racks.entry(worker.rack).or_insert(next_rack);
         let slot = Slot { free: worker.free, capacity: worker.capacity, rack, open: worker.open };
@@ -97,7 +97,7 @@
     }
 
     /// Takes from what is free; false, and nothing taken, when it does not fit.
-    pub fn take(&mut self, at: WorkerIndex, amount: &Resources) -> bool {
+    pub fn allocate(&mut self, at: WorkerIndex, amount: &Resources) -> bool {
         let slot = &mut self.slots[at];
         match slot.free.checked_sub(amount) {
             Some(rest) => {
@@ -109,7 +109,7 @@
     }
 
     /// Gives back what was taken, never above the capacity.
-    pub fn give(&mut self, at: WorkerIndex, amount: &Resources) {
+    pub fn release(&mut self, at: WorkerIndex, amount: &Resources) {
         let slot = &mut self.slots[at];
         let sum = slot.free.checked_add(amount).unwrap_or(slot.capacity);
         slot.free = Resources {
--- a/components/place/tests/place.rs
+++ b/components/place/tests/place.rs
@@ -7,8 +7,8 @@
 use model::workload::{Kind, Priority};
 use model::{Reason, Resources};
 use place::{
-    Candidate, Cell, Choice, Claimant, Demand, Policy, Refusals, Siblings, Usage, Victim, Worker, choose, gang, order,
-    preempt,
+    Candidate, Choice, Demand, Policy, Refusals, Siblings, Usage, Victim, WaitingWork, Worker, WorkerTable, choose,
+    choose_gang, order, preempt,
 };
 use proptest::prelude::*;
 
@@ -23,12 +23,12 @@
 
 #[test]
 fn a_service_spreads_over_workers_and_racks() {
-    let mut cell = Cell::new([worker("a1", "a", 16), worker("a2", "a", 16), worker("b1", "b", 16)]);
+    let mut cell = WorkerTable::new([worker("a1", "a", 16), worker("a2", "a", 16), worker("b1", "b", 16)]);
     let mut siblings = Siblings::default();
     let mut placed = Vec::new();
     for _ in 0..3 {
         let Choice::Placed(at) = choose(&cell, &demand(Kind::Service, 2), &siblings) else { panic!("has room") };
-        cell.take(at, &Resources::new(2, 2048, 0));
+        cell.allocate(at, &Resources::new(2, 2048, 0));
         siblings.add(&cell, at);
         placed.push(cell.id(at).clone());
     }
@@ -37,15 +37,15 @@
 
 #[test]
 fn batch_packs_the_fullest_worker_with_room() {
-    let mut cell = Cell::new([worker("a", "a", 16), worker("b", "a", 16)]);
-    cell.take(1, &Resources::new(10, 1024, 0));
+    let mut cell = WorkerTable::new([worker("a", "a", 16), worker("b", "a", 16)]);
+    cell.allocate(1, &Resources::new(10, 1024, 0));
     assert_eq!(choose(&cell, &demand(Kind::Batch, 4), &Siblings::default()), Choice::Placed(1));
     assert_eq!(choose(&cell, &demand(Kind::Batch, 8), &Siblings::default()), Choice::Placed(0));
 }
 
 #[test]
 fn work_that_can_never_run_is_told_the_nearest_miss() {
-    let cell = Cell::new([worker("small", "a", 8), worker("large", "a", 16)]);
+    let cell = WorkerTable::new([worker("small", "a", 8), worker("large", "a", 16)]);
     let Choice::Impossible(reason) = choose(&cell, &demand(Kind::Batch, 20), &Siblings::default()) else {
         panic!("no worker has 20 cores")
     };
@@ -57,7 +57,7 @@
 
 #[test]
 fn a_closed_worker_takes_nothing() {
-    let mut cell = Cell::new([worker("a", "a", 16)]);
+    let mut cell = WorkerTable::new([worker("a", "a", 16)]);
     cell.set_open(0, false);
     assert_eq!(choose(&cell, &demand(Kind::Batch, 1), &Siblings::default()), Choice::Waiting(Reason::NoWorkers));
 }
@@ -67,21 +67,21 @@
     let refusal = Choice::Waiting(Reason::NoWorkers);
     let (small, large) = (Resources::new(1, 1024, 0), Resources::new(2, 1024, 0));
     let mut refusals = Refusals::default();
-    refusals.note(small, &refusal, false);
+    refusals.record(small, &refusal, false);
     assert_eq!(refusals.find(&small), None, "some workers were closed to that workload alone");
-    refusals.note(small, &refusal, true);
+    refusals.record(small, &refusal, true);
     assert_eq!(refusals.find(&small), Some(&refusal));
     assert_eq!(refusals.find(&large), None, "it may be one that can never run");
 }
 
 #[test]
 fn a_gang_is_placed_whole_or_leaves_nothing_behind() {
-    let mut cell = Cell::new([worker("a", "a", 16), worker("b", "a", 16)]);
+    let mut cell = WorkerTable::new([worker("a", "a", 16), worker("b", "a", 16)]);
     let before = (cell.free(0), cell.free(1));
-    let refused = gang(&mut cell, &demand(Kind::Gang, 5), 7);
+    let refused = choose_gang(&mut cell, &demand(Kind::Gang, 5), 7);
     assert_eq!(refused, Err(Choice::Waiting(Reason::GangIncomplete { fitting: 6, needed: 7 })));
     assert_eq!((cell.free(0), cell.free(1)), before);
-    assert_eq!(gang(&mut cell, &demand(Kind::Gang, 5), 6).unwrap().len(), 6);
+    assert_eq!(choose_gang(&mut cell, &demand(Kind::Gang, 5), 6).unwrap().len(), 6);
 }
 
 #[test]
@@ -108,7 +108,7 @@
 
 #[test]
 fn urgent_goes_first_then_the_starving_then_the_team_that_uses_least() {
-    let claimant = |workload: &str, team: &str, priority, waited| Claimant {
+    let claimant = |workload: &str, team: &str, priority, waited| WaitingWork {
         workload: workload.to_owned(),
         team: team.to_owned(),
         priority,
@@ -134,7 +134,7 @@
         sizes in prop::collection::vec((1u32..20, 1u32..40, 0u32..2, 0u8..3), 1..300),
         policy in prop_oneof![Just(Policy::FirstFit), Just(Policy::BestFit), Just(Policy::Aligned)],
     ) {
-        let mut cell = Cell::new((0..8).map(|n| worker(&format!("w{n}"), &format!("r{}", n / 3), 16)));
+        let mut cell = WorkerTable::new((0..8).map(|n| worker(&format!("w{n}"), &format!("r{}", n / 3), 16)));
         let capacity = Resources::new(16, 16 * 4096, 0);
         let mut used = [Resources::ZERO; 8];
         for (cores, gib, accelerators, kind) in sizes {
@@ -142,7 +142,7 @@
             let kind = [Kind::Service, Kind::Batch, Kind::Gang][kind as usize];
             let demand = Demand { each, kind, policy };
             if let Choice::Placed(at) = choose(&cell, &demand, &Siblings::default()) {
-                prop_assert!(cell.take(at, &each));
+                prop_assert!(cell.allocate(at, &each));
                 used[at] = used[at].checked_add(&each).unwrap();
                 prop_assert!(used[at].fits_in(&capacity));
             }
--- a/components/request/src/queue.rs
+++ b/components/request/src/queue.rs
@@ -13,12 +13,12 @@
 const SOONEST_RETRY: Duration = Duration::from_millis(100);
 /// Longest time that a refused caller is asked to stay away.
 const LATEST_RETRY: Duration = Duration::from_secs(60);
-/// Capacity that is left for an answer that takes longer than usual.
+/// Room that is left for an answer that takes longer than usual.
 const SAFETY: f64 = 1.5;
 /// Assumed time of an answer before the first was seen.
 const UNSEEN: Duration = Duration::from_millis(20);
 
-/// RefusalReason a request is refused.
+/// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
     /// It would not be answered before its deadline.
@@ -46,7 +46,7 @@
 /// A refusal, before anything was sent to a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// RefusalReason.
+    /// Why.
     pub reason: RefusalReason,
     /// When to come back, worked out from what waits now.
     pub retry_after: Duration,
--- a/components/worker/src/client.rs
+++ b/components/worker/src/client.rs
@@ -13,7 +13,7 @@
 
 /// Why a worker gave no report.
 #[derive(Debug, Error)]
-pub enum Fault {
+pub enum WorkerError {
     /// Another host holds the worker under a higher epoch.
     #[error("superseded by {} with epoch {}", .0.holder, .0.epoch)]
     Superseded(Refusal),
@@ -29,9 +29,9 @@
 #[async_trait]
 pub trait Worker: Send + Sync {
     /// Takes the worker over.
-    async fn hold(&self, hold: &Hold) -> Result<Report, Fault>;
+    async fn hold(&self, hold: &Hold) -> Result<Report, WorkerError>;
     /// Renews all leases and carries out commands.
-    async fn batch(&self, batch: &Batch) -> Result<Report, Fault>;
+    async fn batch(&self, batch: &Batch) -> Result<Report, WorkerError>;
 }
 
 /// A worker behind an address.
@@ -49,22 +49,22 @@
 
 #[async_trait]
 impl Worker for Client {
-    async fn hold(&self, hold: &Hold) -> Result<Report, Fault> {
+    async fn hold(&self, hold: &Hold) -> Result<Report, WorkerError> {
         self.http.post(&format!("{}/hold", self.base), hold).await.map_err(from_web)
     }
 
-    async fn batch(&self, batch: &Batch) -> Result<Report, Fault> {
+    async fn batch(&self, batch: &Batch) -> Result<Report, WorkerError> {
         self.http.post(&format!("{}/batch", self.base), batch).await.map_err(from_web)
     }
 }
 
-fn from_web(fault: web::Fault) -> Fault {
+fn from_web(fault: web::Fault) -> WorkerError {
     match fault {
-        web::Fault::NotSent(message) => Fault::NotSent(message),
+        web::Fault::NotSent(message) => WorkerError::NotSent(message),
         web::Fault::Status { status, body } if status.as_u16() == CONFLICT => match serde_json::from_str(&body) {
-            Ok(refusal) => Fault::Superseded(refusal),
-            Err(_) => Fault::Unknown(format!("status 409 with an unreadable body: {body}")),
+            Ok(refusal) => WorkerError::Superseded(refusal),
+            Err(_) => WorkerError::Unknown(format!("status 409 with an unreadable body: {body}")),
         },
-        other => Fault::Unknown(other.to_string()),
+        other => WorkerError::Unknown(other.to_string()),
     }
 }
--- a/components/worker/src/lib.rs
+++ b/components/worker/src/lib.rs
@@ -8,5 +8,5 @@
 mod client;
 mod protocol;
 
-pub use client::{Client, Fault, Worker};
-pub use protocol::{Batch, Command, Hold, Refusal, Report, Run, Task};
+pub use client::{Client, Worker, WorkerError};
+pub use protocol::{AttemptReport, AttemptState, Batch, Command, Hold, Refusal, Report};
--- a/components/worker/src/protocol.rs
+++ b/components/worker/src/protocol.rs
@@ -86,7 +86,7 @@
 /// The state of an attempt on a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "state")]
-pub enum Run {
+pub enum AttemptState {
     /// It runs.
     Running {
         /// Where a service instance answers.
@@ -103,7 +103,7 @@
 
 /// An attempt on a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Task {
+pub struct AttemptReport {
     /// What.
     pub task: Id,
     /// Which attempt.
@@ -113,7 +113,7 @@
     /// Whether it may be stopped for urgent work.
     pub patient: bool,
     /// How it is.
-    pub run: Run,
+    pub run: AttemptState,
     /// Run time since the last checkpoint, which a stop would lose, in milliseconds.
     #[serde(default)]
     pub unsaved_ms: u64,
@@ -133,7 +133,7 @@
     /// Whether it is on its way out.
     pub leaving: bool,
     /// All attempts, ended ones until they are acknowledged.
-    pub tasks: Vec<Task>,
+    pub tasks: Vec<AttemptReport>,
 }
 
 /// The answer with status 409: the epoch was too low.
