--- a/components/jobs/src/job.rs
+++ b/components/jobs/src/job.rs
@@ -8,13 +8,13 @@
 use model::{DataCentreId, Reason, WorkerId};
 use wire::StopOrder;
 
-use crate::failure::{Failures, Verdict};
+use crate::failures::{Failures, RetryState};
 use crate::task::{Phase, Task};
 
 /// A service instance that ran for so long counts as a success.
 const HEALTHY_AFTER: std::time::Duration = std::time::Duration::from_secs(60);
 /// An instance on a leaving worker is stopped after so long even when its successor does not run yet.
-const MOVE_WITHIN: std::time::Duration = std::time::Duration::from_secs(10);
+const REPLACEMENT_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(10);
 
 /// A workload's share, with its tasks.
 #[derive(Clone, Debug)]
@@ -28,9 +28,9 @@
     data_centre: DataCentreId,
     waiting: BTreeSet<u32>,
     /// Since when nothing of it lives or is left to run.
-    over_since: Option<Instant>,
+    complete_since: Option<Instant>,
     /// Instances that leave their worker, with their successor and since when.
-    moves: BTreeMap<u32, (u32, Instant)>,
+    replacements: BTreeMap<u32, (u32, Instant)>,
 }
 
 impl Job {
@@ -41,8 +41,8 @@
             failures: Failures::default(),
             data_centre,
             waiting: BTreeSet::new(),
-            over_since: None,
-            moves: BTreeMap::new(),
+            complete_since: None,
+            replacements: BTreeMap::new(),
         }
     }
 
@@ -52,7 +52,7 @@
     }
 
     /// Tasks that this data centre should run.
-    pub fn wanted(&self) -> u32 {
+    pub fn desired_count(&self) -> u32 {
         if self.versioned.record.intent == Intent::Cancel {
             return 0;
         }
@@ -80,7 +80,7 @@
     }
 
     /// Moves a task to a phase; the only place that does, so that the waiting set stays right.
-    pub(crate) fn set(&mut self, index: u32, phase: Phase, now: Instant) {
+    pub(crate) fn set_phase(&mut self, index: u32, phase: Phase, now: Instant) {
         let Some(task) = self.tasks.get_mut(&index) else { return };
         if phase == Phase::Waiting {
             self.waiting.insert(index);
@@ -93,15 +93,15 @@
         task.phase = phase;
     }
 
-    fn add(&mut self, index: u32, phase: Phase, now: Instant) {
+    fn add_task(&mut self, index: u32, phase: Phase, now: Instant) {
         self.tasks.entry(index).or_insert_with(|| Task::new(phase.clone(), now));
-        self.set(index, phase, now);
+        self.set_phase(index, phase, now);
     }
 
-    fn drop_task(&mut self, index: u32) {
+    fn remove_task(&mut self, index: u32) {
         self.waiting.remove(&index);
         self.tasks.remove(&index);
-        self.moves.remove(&index);
+        self.replacements.remove(&index);
     }
 
     /// Marks tasks that finished in an earlier epoch.
@@ -110,66 +110,66 @@
             return;
         }
         for index in progress.positions() {
-            self.add(index, Phase::Finished, now);
+            self.add_task(index, Phase::Finished, now);
         }
     }
 
-    /// Makes the tasks match what is wanted: adds missing ones in `phase`, drops surplus ones that don't live.
+    /// Makes the tasks match what is desired: adds missing ones in `phase`, drops surplus ones that don't live.
     pub(crate) fn resize(&mut self, phase: Phase, now: Instant) {
-        let wanted = self.wanted();
+        let desired = self.desired_count();
         if self.workload().kind != Kind::Service {
-            self.resize_run(wanted, phase, now);
+            self.resize_non_service(desired, phase, now);
             return;
         }
-        self.drop_idle_surplus(wanted);
+        self.remove_idle_surplus(desired);
         let mut index = 0;
-        while self.staying() < wanted {
+        while self.retained_count() < desired {
             if !self.tasks.contains_key(&index) {
-                self.add(index, phase.clone(), now);
+                self.add_task(index, phase.clone(), now);
             }
             index += 1;
         }
     }
 
-    fn resize_run(&mut self, wanted: u32, phase: Phase, now: Instant) {
+    fn resize_non_service(&mut self, desired: u32, phase: Phase, now: Instant) {
         let last = self.tasks.keys().next_back().map_or(0, |last| last + 1);
-        if last == wanted && self.tasks.len() == wanted as usize {
-            // Just the wanted ones: this is asked after each order and end of a run with thousands of tasks.
+        if last == desired && self.tasks.len() == desired as usize {
+            // Just the desired ones: this is asked after each order and end of a run with thousands of tasks.
             return;
         }
-        for index in 0..wanted {
+        for index in 0..desired {
             if !self.tasks.contains_key(&index) {
-                self.add(index, phase.clone(), now);
+                self.add_task(index, phase.clone(), now);
             }
         }
-        let surplus: Vec<u32> = self.tasks.range(wanted..).map(|(index, _)| *index).collect();
+        let surplus: Vec<u32> = self.tasks.range(desired..).map(|(index, _)| *index).collect();
         for index in surplus {
-            if !self.tasks[&index].may_live() {
-                self.drop_task(index);
+            if !self.tasks[&index].may_be_live() {
+                self.remove_task(index);
             }
         }
     }
 
     /// Instances that are not about to be replaced by a successor.
-    fn staying(&self) -> u32 {
-        (self.tasks.len() - self.moves.len()) as u32
+    fn retained_count(&self) -> u32 {
+        (self.tasks.len() - self.replacements.len()) as u32
     }
 
-    fn drop_idle_surplus(&mut self, wanted: u32) {
+    fn remove_idle_surplus(&mut self, desired: u32) {
         let idle: Vec<u32> =
-            self.tasks.iter().rev().filter(|(_, task)| !task.may_live()).map(|(index, _)| *index).collect();
+            self.tasks.iter().rev().filter(|(_, task)| !task.may_be_live()).map(|(index, _)| *index).collect();
         for index in idle {
-            if self.staying() <= wanted {
+            if self.retained_count() <= desired {
                 return;
             }
-            self.drop_task(index);
+            self.remove_task(index);
         }
     }
 
     /// Takes in where an attempt was found. Returns false when it is an older attempt than the known one.
-    pub(crate) fn found(&mut self, index: u32, attempt: Attempt, phase: Phase, now: Instant) -> bool {
+    pub(crate) fn observe_attempt(&mut self, index: u32, attempt: Attempt, phase: Phase, now: Instant) -> bool {
         if !self.tasks.contains_key(&index) {
-            self.add(index, Phase::Unknown, now);
+            self.add_task(index, Phase::Unknown, now);
         }
         let Some(task) = self.tasks.get_mut(&index) else { return false };
         if attempt < task.attempt || task.phase == Phase::Finished {
@@ -182,13 +182,20 @@
         match (phase, &mut task.phase) {
             (Phase::Running { address: new, .. }, Phase::Running { address, .. }) if same_run => *address = new,
             (Phase::Running { .. } | Phase::Starting { .. }, _) if stopping => {}
-            (phase, _) => self.set(index, phase, now),
+            (phase, _) => self.set_phase(index, phase, now),
         }
         true
     }
 
     /// Takes in that the latest attempt at a task has surely ended. Tells whether the workload got parked.
-    pub(crate) fn ended(&mut self, index: u32, end: &End, on_probation: bool, workers: usize, now: Instant) -> bool {
+    pub(crate) fn record_end(
+        &mut self,
+        index: u32,
+        end: &End,
+        on_probation: bool,
+        worker_count: usize,
+        now: Instant,
+    ) -> bool {
         let Some(task) = self.tasks.get(&index) else { return false };
         let worker = task.worker().cloned();
         let healthy =
@@ -197,18 +204,18 @@
         let mut parked = false;
         match end {
             End::Finished if !service => {
-                self.failures.succeeded();
-                self.set(index, Phase::Finished, now);
+                self.failures.record_success();
+                self.set_phase(index, Phase::Finished, now);
             }
             End::Failed { message } => {
                 if healthy {
-                    self.failures.succeeded();
+                    self.failures.record_success();
                 }
                 let worker = worker.as_deref().unwrap_or("an unknown worker");
-                parked = self.failures.failed(worker, message, on_probation, workers, now);
-                self.set(index, Phase::Waiting, now);
+                parked = self.failures.record_failure(worker, message, on_probation, worker_count, now);
+                self.set_phase(index, Phase::Waiting, now);
             }
-            End::Finished | End::Stopped | End::Lost | End::Restarted => self.set(index, Phase::Waiting, now),
+            End::Finished | End::Stopped | End::Lost | End::Restarted => self.set_phase(index, Phase::Waiting, now),
         }
         if matches!(end, End::Stopped)
             && let Some(task) = self.tasks.get_mut(&index)
@@ -220,27 +227,27 @@
     }
 
     /// Takes in that the worker of a task is gone. Tells whether the workload got parked.
-    pub(crate) fn worker_lost(&mut self, index: u32, worker: &str, now: Instant, workers: usize) -> bool {
+    pub(crate) fn record_worker_loss(&mut self, index: u32, worker: &str, now: Instant, worker_count: usize) -> bool {
         let new = match self.tasks.get(&index).map(|task| &task.phase) {
             Some(Phase::Starting { .. }) => true,
             Some(Phase::Running { since, .. }) => now.duration_since(*since) < HEALTHY_AFTER,
             _ => false,
         };
-        new && self.failures.worker_lost(worker, workers, now)
+        new && self.failures.record_worker_loss(worker, worker_count, now)
     }
 
     /// Drops the task when it is surplus or has been replaced by its successor.
     fn after_end(&mut self, index: u32, now: Instant) {
-        let live = self.tasks.get(&index).is_some_and(Task::may_live);
-        if self.moves.contains_key(&index) && !live {
-            self.drop_task(index);
+        let live = self.tasks.get(&index).is_some_and(Task::may_be_live);
+        if self.replacements.contains_key(&index) && !live {
+            self.remove_task(index);
         }
         self.resize(Phase::Waiting, now);
     }
 
     /// Whether tasks may be started now.
-    pub fn verdict(&self, now: Instant) -> Verdict {
-        self.failures.verdict(now)
+    pub fn retry_state(&self, now: Instant) -> RetryState {
+        self.failures.retry_state(now)
     }
 
     /// Positions to start now: any that wait, but for a gang only all unfinished ones together.
@@ -257,19 +264,19 @@
 
     /// Attempts that should end: of cancelled or surplus tasks, of instances whose successor runs, and of
     /// gangs that have lost a member.
-    pub(crate) fn unwanted(&self, now: Instant) -> Vec<StopOrder> {
+    pub(crate) fn attempts_to_stop(&self, now: Instant) -> Vec<StopOrder> {
         let mut orders: BTreeMap<u32, StopOrder> = BTreeMap::new();
         for index in self.surplus() {
             orders.extend(self.stop_order(index).map(|order| (index, order)));
         }
-        for (old, (new, since)) in &self.moves {
+        for (old, (new, since)) in &self.replacements {
             let successor = self.tasks.get(new).map(|task| &task.phase);
             let succeeded = matches!(successor, Some(Phase::Running { .. }));
-            if succeeded || now.duration_since(*since) >= MOVE_WITHIN {
+            if succeeded || now.duration_since(*since) >= REPLACEMENT_TIMEOUT {
                 orders.extend(self.stop_order(*old).map(|order| (*old, order)));
             }
         }
-        if self.broken_gang() {
+        if self.gang_is_incomplete() {
             for index in self.tasks.keys() {
                 orders.extend(self.stop_order(*index).map(|order| (*index, order)));
             }
@@ -278,19 +285,19 @@
     }
 
     fn surplus(&self) -> Vec<u32> {
-        let wanted = self.wanted();
-        if wanted == 0 {
+        let desired = self.desired_count();
+        if desired == 0 {
             return self.tasks.keys().copied().collect();
         }
         if self.workload().kind != Kind::Service {
-            return self.tasks.range(wanted..).map(|(index, _)| *index).collect();
+            return self.tasks.range(desired..).map(|(index, _)| *index).collect();
         }
-        let over = self.staying().saturating_sub(wanted) as usize;
-        let staying = self.tasks.keys().rev().filter(|index| !self.moves.contains_key(index));
-        staying.take(over).copied().collect()
+        let over = self.retained_count().saturating_sub(desired) as usize;
+        let retained = self.tasks.keys().rev().filter(|index| !self.replacements.contains_key(index));
+        retained.take(over).copied().collect()
     }
 
-    fn broken_gang(&self) -> bool {
+    fn gang_is_incomplete(&self) -> bool {
         if self.workload().kind != Kind::Gang || self.waiting.is_empty() {
             return false;
         }
@@ -320,29 +327,29 @@
             return there.into_iter().filter_map(|index| self.stop_order(index)).collect();
         }
         for index in there {
-            if self.moves.contains_key(&index) || self.staying() > self.wanted() {
+            if self.replacements.contains_key(&index) || self.retained_count() > self.desired_count() {
                 continue;
             }
             let successor = self.tasks.keys().next_back().map_or(0, |last| last + 1);
-            self.moves.insert(index, (successor, now));
-            self.add(successor, Phase::Waiting, now);
+            self.replacements.insert(index, (successor, now));
+            self.add_task(successor, Phase::Waiting, now);
         }
         Vec::new()
     }
 
     /// Whether nothing lives and nothing is left to run.
-    pub fn over(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         let done = self.tasks.values().all(|task| task.phase == Phase::Finished);
         done && (self.cancelled() || self.workload().kind != Kind::Service)
     }
 
     /// Whether it has been over for so long. Looks at the clock, so it must be asked from time to time.
-    pub(crate) fn expired(&mut self, keep: std::time::Duration, now: Instant) -> bool {
-        if !self.over() {
-            self.over_since = None;
+    pub(crate) fn is_expired(&mut self, keep: std::time::Duration, now: Instant) -> bool {
+        if !self.is_complete() {
+            self.complete_since = None;
             return false;
         }
-        let since = *self.over_since.get_or_insert(now);
+        let since = *self.complete_since.get_or_insert(now);
         now.duration_since(since) >= keep
     }
 
@@ -358,9 +365,9 @@
         match &task.phase {
             Phase::Unknown => task.reason.clone(),
             Phase::Waiting if self.cancelled() => Reason::Cancelled,
-            Phase::Waiting => match self.verdict(now) {
-                Verdict::Ready => task.reason.clone(),
-                Verdict::Pause(reason) | Verdict::Parked(reason) => reason,
+            Phase::Waiting => match self.retry_state(now) {
+                RetryState::Ready => task.reason.clone(),
+                RetryState::Pause(reason) | RetryState::Parked(reason) => reason,
             },
             Phase::Ordered { worker, .. } | Phase::Starting { worker } => Reason::Starting { worker: worker.clone() },
             Phase::Running { worker, .. } => Reason::Running { worker: worker.clone() },
--- a/components/jobs/src/lib.rs
+++ b/components/jobs/src/lib.rs
@@ -4,12 +4,12 @@
 //! Pure: records, facts and time go in; orders and reasons come out. A next attempt is numbered only when the
 //! last one has surely ended.
 
-mod book;
-mod failure;
+mod failures;
 mod job;
 mod task;
+mod tracker;
 
-pub use book::{Book, Claimant, Note};
-pub use failure::{Failures, PARK_AFTER, Verdict};
+pub use failures::{Failures, PARK_AFTER, RetryState};
 pub use job::Job;
 pub use task::{Phase, Task};
+pub use tracker::{JobEvent, JobTracker, PendingJob};
--- a/components/jobs/src/task.rs
+++ b/components/jobs/src/task.rs
@@ -73,7 +73,7 @@
     }
 
     /// Whether an attempt may be alive.
-    pub fn may_live(&self) -> bool {
+    pub fn may_be_live(&self) -> bool {
         !matches!(self.phase, Phase::Waiting | Phase::Finished)
     }
 }
--- a/components/jobs/src/book.rs
+++ b/components/jobs/src/tracker.rs
@@ -8,16 +8,16 @@
 use model::{DataCentreId, Epoch, Reason, Revision, WorkerId, WorkloadId};
 use wire::{StartOrder, StopOrder, TaskFact, TaskState};
 
-use crate::failure::Verdict;
+use crate::failures::RetryState;
 use crate::job::Job;
 use crate::task::{Phase, Task};
 
 /// An order whose answer was lost is sent again after so long.
-const ORDER_AGAIN: Duration = Duration::from_millis(500);
+const ORDER_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Work that waits and may start now.
 #[derive(Clone, Debug)]
-pub struct Claimant {
+pub struct PendingJob {
     /// Its workload.
     pub workload: WorkloadId,
     /// Positions to start; for a gang all or none.
@@ -28,7 +28,7 @@
 
 /// Something worth a log line or a metric.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
+pub enum JobEvent {
     /// A task began to run after this wait.
     Started(Id, Duration),
     /// An attempt ended.
@@ -39,35 +39,35 @@
 
 /// The shares of one partition, as its owner follows them.
 #[derive(Debug)]
-pub struct Book {
+pub struct JobTracker {
     epoch: Epoch,
     data_centre: DataCentreId,
     jobs: BTreeMap<WorkloadId, Job>,
-    last_number: u32,
+    last_attempt_number: u32,
     /// Whether every worker that an earlier owner may have used is accounted for.
-    accounted: bool,
-    acknowledge: Vec<StopOrder>,
-    stray: BTreeMap<(Id, Attempt), StopOrder>,
+    recovered: bool,
+    acknowledgements: Vec<StopOrder>,
+    orphans: BTreeMap<(Id, Attempt), StopOrder>,
     /// Ends that wait until the platform has them.
-    undurable: BTreeMap<WorkloadId, Vec<StopOrder>>,
-    notes: Vec<Note>,
-    workers: usize,
+    unpersisted_ends: BTreeMap<WorkloadId, Vec<StopOrder>>,
+    events: Vec<JobEvent>,
+    worker_count: usize,
 }
 
-impl Book {
-    /// Opens the book of a partition that was just claimed with `epoch`.
-    pub fn new(epoch: Epoch, data_centre: DataCentreId) -> Book {
-        Book {
+impl JobTracker {
+    /// Opens the tracker of a partition that was just claimed with `epoch`.
+    pub fn new(epoch: Epoch, data_centre: DataCentreId) -> JobTracker {
+        JobTracker {
             epoch,
             data_centre,
             jobs: BTreeMap::new(),
-            last_number: 0,
-            accounted: false,
-            acknowledge: Vec::new(),
-            stray: BTreeMap::new(),
-            undurable: BTreeMap::new(),
-            notes: Vec::new(),
-            workers: 0,
+            last_attempt_number: 0,
+            recovered: false,
+            acknowledgements: Vec::new(),
+            orphans: BTreeMap::new(),
+            unpersisted_ends: BTreeMap::new(),
+            events: Vec::new(),
+            worker_count: 0,
         }
     }
 
@@ -82,8 +82,8 @@
     }
 
     /// States how many workers the data centre has.
-    pub fn workers(&mut self, count: usize) {
-        self.workers = count;
+    pub fn set_worker_count(&mut self, count: usize) {
+        self.worker_count = count;
     }
 
     /// Follows a record. `fresh` states that no earlier owner can have started its tasks: it was accepted
@@ -96,7 +96,7 @@
         }
         let same_life = known.is_some_and(|(_, life)| life == versioned.record.life);
         if !same_life {
-            self.abandon(&name);
+            self.remove_workload(&name);
             let mut job = Job::new(versioned, self.data_centre.clone());
             if let Some(progress) = progress {
                 job.restore(progress, now);
@@ -105,22 +105,22 @@
         } else if let Some(job) = self.jobs.get_mut(&name) {
             job.versioned = versioned;
             // An operator's change is a new chance for a workload that failed.
-            job.failures.succeeded();
+            job.failures.record_success();
         }
-        let phase = if fresh || self.accounted { Phase::Waiting } else { Phase::Unknown };
+        let phase = if fresh || self.recovered { Phase::Waiting } else { Phase::Unknown };
         if let Some(job) = self.jobs.get_mut(&name) {
             job.resize(phase, now);
         }
     }
 
-    /// Forgets a workload whose record was removed; attempts that still live are stopped as strays.
-    pub fn abandon(&mut self, workload: &str) {
+    /// Forgets a workload whose record was removed; attempts that still live are stopped as orphans.
+    pub fn remove_workload(&mut self, workload: &str) {
         let Some(job) = self.jobs.remove(workload) else { return };
-        self.undurable.remove(workload);
+        self.unpersisted_ends.remove(workload);
         for (index, task) in &job.tasks {
             let Some(worker) = task.worker() else { continue };
             let order = StopOrder { worker: worker.clone(), task: job.id(*index), attempt: task.attempt };
-            self.stray.insert((order.task.clone(), order.attempt), order);
+            self.orphans.insert((order.task.clone(), order.attempt), order);
         }
     }
 
@@ -129,143 +129,143 @@
         let order = StopOrder { worker: fact.worker.clone(), task: task.clone(), attempt };
         let known = self.jobs.get_mut(&task.workload).filter(|job| job.versioned.record.life == task.life);
         let Some(job) = known else {
-            self.observe_stray(order, &fact.state);
+            self.observe_orphan(order, &fact.state);
             return;
         };
         let worker = fact.worker.clone();
         match &fact.state {
             TaskState::Ended(end) => self.observe_end(order, end, on_probation, now),
-            TaskState::Starting => Self::observe_live(job, &mut self.stray, order, Phase::Starting { worker }, now),
-            TaskState::Stopping => Self::observe_live(job, &mut self.stray, order, Phase::Stopping { worker }, now),
+            TaskState::Starting => Self::observe_live(job, &mut self.orphans, order, Phase::Starting { worker }, now),
+            TaskState::Stopping => Self::observe_live(job, &mut self.orphans, order, Phase::Stopping { worker }, now),
             TaskState::Running(address) => {
-                let waited = job.tasks.get(&task.index).filter(|known| starts_now(known, attempt));
+                let waited = job.tasks.get(&task.index).filter(|known| is_starting(known, attempt));
                 let waited = waited.map(|known| now.duration_since(known.waiting_since));
                 let phase = Phase::Running { worker, since: now, address: *address };
-                Self::observe_live(job, &mut self.stray, order, phase, now);
-                self.notes.extend(waited.map(|waited| Note::Started(task.clone(), waited)));
+                Self::observe_live(job, &mut self.orphans, order, phase, now);
+                self.events.extend(waited.map(|waited| JobEvent::Started(task.clone(), waited)));
             }
         }
     }
 
-    fn observe_stray(&mut self, order: StopOrder, state: &TaskState) {
+    fn observe_orphan(&mut self, order: StopOrder, state: &TaskState) {
         let key = (order.task.clone(), order.attempt);
         if matches!(state, TaskState::Ended(_)) {
-            self.stray.remove(&key);
-            self.acknowledge.push(order);
+            self.orphans.remove(&key);
+            self.acknowledgements.push(order);
         } else {
-            self.stray.insert(key, order);
+            self.orphans.insert(key, order);
         }
     }
 
     fn observe_live(
         job: &mut Job,
-        stray: &mut BTreeMap<(Id, Attempt), StopOrder>,
+        orphans: &mut BTreeMap<(Id, Attempt), StopOrder>,
         order: StopOrder,
         phase: Phase,
         now: Instant,
     ) {
-        if !job.found(order.task.index, order.attempt, phase, now) {
-            stray.insert((order.task.clone(), order.attempt), order);
+        if !job.observe_attempt(order.task.index, order.attempt, phase, now) {
+            orphans.insert((order.task.clone(), order.attempt), order);
         }
     }
 
     fn observe_end(&mut self, order: StopOrder, end: &End, on_probation: bool, now: Instant) {
-        self.stray.remove(&(order.task.clone(), order.attempt));
+        self.orphans.remove(&(order.task.clone(), order.attempt));
         let Some(job) = self.jobs.get_mut(&order.task.workload) else { return };
         let index = order.task.index;
         let task = job.tasks.get(&index);
         let finished = task.is_some_and(|task| task.phase == Phase::Finished && task.attempt == order.attempt);
         if finished {
             // Its end is on its way to the platform; acknowledged when it is there.
-            let waits = self.undurable.get(&order.task.workload).is_some_and(|ends| ends.contains(&order));
+            let waits = self.unpersisted_ends.get(&order.task.workload).is_some_and(|ends| ends.contains(&order));
             if !waits {
-                self.acknowledge.push(order);
+                self.acknowledgements.push(order);
             }
             return;
         }
         let current = task.map_or(Attempt::default(), |task| task.attempt);
         let unseen = order.attempt > current;
-        let live = task.is_none_or(|task| task.may_live());
+        let live = task.is_none_or(|task| task.may_be_live());
         if order.attempt < current || (!unseen && !live) {
-            self.acknowledge.push(order);
+            self.acknowledgements.push(order);
             return;
         }
         if unseen {
-            job.found(index, order.attempt, Phase::Starting { worker: order.worker.clone() }, now);
+            job.observe_attempt(index, order.attempt, Phase::Starting { worker: order.worker.clone() }, now);
         }
         // It went with an earlier life of its worker, which is back: it may be what took that one down.
-        let restarted = *end == End::Restarted && job.worker_lost(index, &order.worker, now, self.workers);
-        let parked = job.ended(index, end, on_probation, self.workers, now) || restarted;
+        let restarted = *end == End::Restarted && job.record_worker_loss(index, &order.worker, now, self.worker_count);
+        let parked = job.record_end(index, end, on_probation, self.worker_count, now) || restarted;
         if parked {
-            self.notes.push(Note::Parked(order.task.workload.clone(), job.reason(index, now)));
+            self.events.push(JobEvent::Parked(order.task.workload.clone(), job.reason(index, now)));
         }
-        self.notes.push(Note::Ended(order.task.clone(), order.attempt, end.clone()));
-        let must_last = *end == End::Finished && job.workload().kind != Kind::Service;
-        if must_last {
-            self.undurable.entry(order.task.workload.clone()).or_default().push(order);
+        self.events.push(JobEvent::Ended(order.task.clone(), order.attempt, end.clone()));
+        let must_persist = *end == End::Finished && job.workload().kind != Kind::Service;
+        if must_persist {
+            self.unpersisted_ends.entry(order.task.workload.clone()).or_default().push(order);
         } else {
-            self.acknowledge.push(order);
+            self.acknowledgements.push(order);
         }
     }
 
     /// Takes in that the holder of the worker, which has the worker's whole inventory, does not know the
     /// latest attempt at a task: it has surely ended.
-    pub fn vanished(&mut self, task: &Id, attempt: Attempt, now: Instant) {
+    pub fn mark_lost(&mut self, task: &Id, attempt: Attempt, now: Instant) {
         let Some(job) = self.jobs.get_mut(&task.workload) else { return };
-        let current = job.tasks.get(&task.index).is_some_and(|known| known.attempt == attempt && known.may_live());
+        let current = job.tasks.get(&task.index).is_some_and(|known| known.attempt == attempt && known.may_be_live());
         if job.versioned.record.life == task.life && current {
-            job.ended(task.index, &End::Lost, false, self.workers, now);
-            self.notes.push(Note::Ended(task.clone(), attempt, End::Lost));
+            job.record_end(task.index, &End::Lost, false, self.worker_count, now);
+            self.events.push(JobEvent::Ended(task.clone(), attempt, End::Lost));
         }
-        self.stray.remove(&(task.clone(), attempt));
+        self.orphans.remove(&(task.clone(), attempt));
     }
 
     /// Takes in that a worker is gone for good, and that every lease on it has lapsed.
-    pub fn worker_gone(&mut self, worker: &str, now: Instant) {
+    pub fn mark_worker_lost(&mut self, worker: &str, now: Instant) {
         let mut gone: Vec<(Id, Attempt)> = Vec::new();
         for job in self.jobs.values() {
             let there = job.tasks.iter().filter(|(_, task)| task.worker().is_some_and(|on| on == worker));
             gone.extend(there.map(|(index, task)| (job.id(*index), task.attempt)));
         }
         for (task, attempt) in gone {
-            self.blame(&task, worker, now);
-            self.vanished(&task, attempt, now);
+            self.record_worker_loss(&task, worker, now);
+            self.mark_lost(&task, attempt, now);
         }
-        self.stray.retain(|_, order| order.worker != worker);
+        self.orphans.retain(|_, order| order.worker != worker);
     }
 
     /// Holds the end of a worker against a task that had just begun there: it may be what took the worker down, and nobody else would ever
     /// report that.
-    fn blame(&mut self, task: &Id, worker: &str, now: Instant) {
+    fn record_worker_loss(&mut self, task: &Id, worker: &str, now: Instant) {
         let Some(job) = self.jobs.get_mut(&task.workload) else { return };
-        if job.worker_lost(task.index, worker, now, self.workers) {
-            self.notes.push(Note::Parked(task.workload.clone(), job.reason(task.index, now)));
+        if job.record_worker_loss(task.index, worker, now, self.worker_count) {
+            self.events.push(JobEvent::Parked(task.workload.clone(), job.reason(task.index, now)));
         }
     }
 
     /// States that every worker that an earlier owner may have used is accounted for: what was not found
     /// surely does not run.
-    pub fn all_accounted(&mut self, now: Instant) {
-        if std::mem::replace(&mut self.accounted, true) {
+    pub fn finish_recovery(&mut self, now: Instant) {
+        if std::mem::replace(&mut self.recovered, true) {
             return;
         }
         for job in self.jobs.values_mut() {
             let unknown: Vec<u32> =
                 job.tasks.iter().filter(|(_, task)| task.phase == Phase::Unknown).map(|(index, _)| *index).collect();
             for index in unknown {
-                job.set(index, Phase::Waiting, now);
+                job.set_phase(index, Phase::Waiting, now);
             }
             job.resize(Phase::Waiting, now);
         }
     }
 
-    /// Whether [`Book::all_accounted`] was stated.
-    pub fn accounted(&self) -> bool {
-        self.accounted
+    /// Whether [`JobTracker::finish_recovery`] was stated.
+    pub fn is_recovered(&self) -> bool {
+        self.recovered
     }
 
     /// States what the recovery waits for, as the reason of all tasks that are not known yet.
-    pub fn recovering(&mut self, waiting_for: &str) {
+    pub fn set_recovery_reason(&mut self, waiting_for: &str) {
         for job in self.jobs.values_mut() {
             for task in job.tasks.values_mut().filter(|task| task.phase == Phase::Unknown) {
                 task.reason = Reason::Recovering { waiting_for: waiting_for.to_owned() };
@@ -274,65 +274,71 @@
     }
 
     /// Work that may start now, in the order of the names.
-    pub fn claimants(&self, now: Instant) -> Vec<Claimant> {
-        let mut claimants = Vec::new();
+    pub fn pending_jobs(&self, now: Instant) -> Vec<PendingJob> {
+        let mut pending_jobs = Vec::new();
         for (name, job) in &self.jobs {
-            if job.waiting().is_empty() || job.cancelled() || job.verdict(now) != Verdict::Ready {
+            if job.waiting().is_empty() || job.cancelled() || job.retry_state(now) != RetryState::Ready {
                 continue;
             }
             let positions = job.startable();
             let since = positions.iter().map(|index| job.tasks[index].waiting_since).min();
             let Some(since) = since else { continue };
-            claimants.push(Claimant { workload: name.clone(), positions, since });
+            pending_jobs.push(PendingJob { workload: name.clone(), positions, since });
         }
-        claimants
+        pending_jobs
     }
 
     /// Numbers the next attempt at a waiting task and makes the order for it; `None` when it may not start.
-    pub fn order(&mut self, workload: &str, index: u32, worker: &WorkerId, now: Instant) -> Option<StartOrder> {
+    pub fn create_start_order(
+        &mut self,
+        workload: &str,
+        index: u32,
+        worker: &WorkerId,
+        now: Instant,
+    ) -> Option<StartOrder> {
         let job = self.jobs.get_mut(workload)?;
         if job.cancelled() || job.tasks.get(&index)?.phase != Phase::Waiting {
             return None;
         }
-        self.last_number += 1;
-        let attempt = Attempt { epoch: self.epoch, number: self.last_number };
+        self.last_attempt_number += 1;
+        let attempt = Attempt { epoch: self.epoch, number: self.last_attempt_number };
         if let Some(task) = job.tasks.get_mut(&index) {
             task.attempt = attempt;
         }
-        job.set(index, Phase::Ordered { worker: worker.clone(), sent_at: now }, now);
-        Some(start_order(job, index, worker, attempt))
+        job.set_phase(index, Phase::Ordered { worker: worker.clone(), sent_at: now }, now);
+        Some(build_start_order(job, index, worker, attempt))
     }
 
     /// Orders whose answer is overdue, to be sent again just as they were.
     pub fn overdue_orders(&mut self, now: Instant) -> Vec<StartOrder> {
         let mut overdue = Vec::new();
         for job in self.jobs.values_mut() {
-            let mut again = Vec::new();
+            let mut to_resend = Vec::new();
             for (index, task) in &job.tasks {
                 let Phase::Ordered { worker, sent_at } = &task.phase else { continue };
-                if now.duration_since(*sent_at) >= ORDER_AGAIN {
-                    again.push((*index, worker.clone(), task.attempt));
+                if now.duration_since(*sent_at) >= ORDER_RETRY_INTERVAL {
+                    to_resend.push((*index, worker.clone(), task.attempt));
                 }
             }
-            for (index, worker, attempt) in again {
-                overdue.push(start_order(job, index, &worker, attempt));
-                job.set(index, Phase::Ordered { worker, sent_at: now }, now);
+            for (index, worker, attempt) in to_resend {
+                overdue.push(build_start_order(job, index, &worker, attempt));
+                job.set_phase(index, Phase::Ordered { worker, sent_at: now }, now);
             }
         }
         overdue
     }
 
     /// Takes in that the holder committed an attempt.
-    pub fn committed(&mut self, task: &Id, attempt: Attempt, now: Instant) {
-        self.after_order(task, attempt, |worker| Phase::Starting { worker }, None, now);
+    pub fn start_committed(&mut self, task: &Id, attempt: Attempt, now: Instant) {
+        self.resolve_start_order(task, attempt, |worker| Phase::Starting { worker }, None, now);
     }
 
     /// Takes in that an ordered attempt surely was not started, with the reason.
-    pub fn refused(&mut self, task: &Id, attempt: Attempt, reason: Reason, now: Instant) {
-        self.after_order(task, attempt, |_| Phase::Waiting, Some(reason), now);
+    pub fn start_refused(&mut self, task: &Id, attempt: Attempt, reason: Reason, now: Instant) {
+        self.resolve_start_order(task, attempt, |_| Phase::Waiting, Some(reason), now);
     }
 
-    fn after_order(
+    fn resolve_start_order(
         &mut self,
         task: &Id,
         attempt: Attempt,
@@ -351,7 +357,7 @@
         if let Some(reason) = reason {
             known.reason = reason;
         }
-        job.set(task.index, phase, now);
+        job.set_phase(task.index, phase, now);
         // A refused order is no new wait.
         if let Some(known) = job.tasks.get_mut(&task.index) {
             known.waiting_since = since;
@@ -360,7 +366,7 @@
     }
 
     /// States why the waiting tasks of a workload wait.
-    pub fn explain(&mut self, workload: &str, reason: &Reason) {
+    pub fn set_waiting_reason(&mut self, workload: &str, reason: &Reason) {
         let Some(job) = self.jobs.get_mut(workload) else { return };
         let waiting: Vec<u32> = job.waiting().iter().copied().collect();
         for index in waiting {
@@ -372,21 +378,21 @@
         }
     }
 
-    /// Attempts that live without a place in this book: of workloads that are not known, or older than the
-    /// latest one. They should end, once it is certain that the book is not behind.
-    pub fn strays(&self) -> impl Iterator<Item = &StopOrder> + '_ {
-        self.stray.values()
+    /// Attempts that live without a place in this tracker: of workloads that are not known, or older than the
+    /// latest one. They should end, once it is certain that the tracker is not behind.
+    pub fn orphans(&self) -> impl Iterator<Item = &StopOrder> + '_ {
+        self.orphans.values()
     }
 
     /// Attempts to stop, again and again until they have ended.
-    pub fn stops(&mut self, now: Instant) -> Vec<StopOrder> {
+    pub fn stop_orders(&mut self, now: Instant) -> Vec<StopOrder> {
         let mut orders: Vec<StopOrder> = Vec::new();
         for job in self.jobs.values_mut() {
-            let unwanted = job.unwanted(now);
-            for order in &unwanted {
-                job.set(order.task.index, Phase::Stopping { worker: order.worker.clone() }, now);
+            let attempts_to_stop = job.attempts_to_stop(now);
+            for order in &attempts_to_stop {
+                job.set_phase(order.task.index, Phase::Stopping { worker: order.worker.clone() }, now);
             }
-            orders.extend(unwanted);
+            orders.extend(attempts_to_stop);
         }
         orders
     }
@@ -398,18 +404,18 @@
 
     /// Ended attempts that their workers may forget; handed out once.
     pub fn take_acknowledgements(&mut self) -> Vec<StopOrder> {
-        std::mem::take(&mut self.acknowledge)
+        std::mem::take(&mut self.acknowledgements)
     }
 
     /// What is worth a log line; handed out once.
-    pub fn take_notes(&mut self) -> Vec<Note> {
-        std::mem::take(&mut self.notes)
+    pub fn take_events(&mut self) -> Vec<JobEvent> {
+        std::mem::take(&mut self.events)
     }
 
     /// Finished tasks that the platform does not have yet: what to write, and the ends that it covers.
-    pub fn undurable(&self) -> Vec<(WorkloadId, Progress, Vec<StopOrder>)> {
+    pub fn unpersisted_ends(&self) -> Vec<(WorkloadId, Progress, Vec<StopOrder>)> {
         let mut writes = Vec::new();
-        for (name, ends) in &self.undurable {
+        for (name, ends) in &self.unpersisted_ends {
             let Some(job) = self.jobs.get(name) else { continue };
             writes.push((name.clone(), job.progress(), ends.clone()));
         }
@@ -417,21 +423,21 @@
     }
 
     /// Takes in that the platform has the ends of these attempts.
-    pub fn durable(&mut self, workload: &str, ends: &[StopOrder]) {
-        let Some(waiting) = self.undurable.get_mut(workload) else { return };
+    pub fn mark_persisted(&mut self, workload: &str, ends: &[StopOrder]) {
+        let Some(waiting) = self.unpersisted_ends.get_mut(workload) else { return };
         waiting.retain(|order| !ends.contains(order));
         if waiting.is_empty() {
-            self.undurable.remove(workload);
+            self.unpersisted_ends.remove(workload);
         }
-        self.acknowledge.extend_from_slice(ends);
+        self.acknowledgements.extend_from_slice(ends);
     }
 
-    /// Workloads that have been over for so long, and whose ends are durable, with the revisions of their
+    /// Workloads that have been over for so long, and whose ends are stored_progress, with the revisions of their
     /// records: the records may be removed.
-    pub fn expired(&mut self, keep: Duration, now: Instant) -> Vec<(WorkloadId, Revision)> {
+    pub fn expired_workloads(&mut self, keep: Duration, now: Instant) -> Vec<(WorkloadId, Revision)> {
         let mut expired = Vec::new();
         for (name, job) in &mut self.jobs {
-            if job.expired(keep, now) && self.accounted && !self.undurable.contains_key(name) {
+            if job.is_expired(keep, now) && self.recovered && !self.unpersisted_ends.contains_key(name) {
                 expired.push((name.clone(), job.versioned.revision));
             }
         }
@@ -444,7 +450,7 @@
     }
 
     /// Attempts that may live on a worker, with their names, for a comparison with its holder's facts.
-    pub fn may_live(&self) -> impl Iterator<Item = (Id, Attempt, &WorkerId)> + '_ {
+    pub fn possibly_live_attempts(&self) -> impl Iterator<Item = (Id, Attempt, &WorkerId)> + '_ {
         self.jobs.values().flat_map(|job| {
             job.tasks.iter().filter_map(|(index, task)| {
                 let settled = !matches!(task.phase, Phase::Ordered { .. });
@@ -454,11 +460,11 @@
     }
 }
 
-fn starts_now(known: &Task, attempt: Attempt) -> bool {
+fn is_starting(known: &Task, attempt: Attempt) -> bool {
     known.attempt == attempt && matches!(known.phase, Phase::Ordered { .. } | Phase::Starting { .. })
 }
 
-fn start_order(job: &Job, index: u32, worker: &WorkerId, attempt: Attempt) -> StartOrder {
+fn build_start_order(job: &Job, index: u32, worker: &WorkerId, attempt: Attempt) -> StartOrder {
     let workload = job.workload();
     StartOrder {
         worker: worker.clone(),
--- a/components/jobs/tests/two_places.rs
+++ b/components/jobs/tests/two_places.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-use jobs::Book;
+use jobs::JobTracker;
 use ledger::{Commit, Ledger, Limits};
 use model::task::{Attempt, End, Id};
 use model::workload::{Kind, Progress};
@@ -88,8 +88,8 @@
 struct World {
     now: Instant,
     workers: Vec<Held>,
-    book: Book,
-    durable: Progress,
+    tracker: JobTracker,
+    stored_progress: Progress,
     started: u64,
 }
 
@@ -97,15 +97,15 @@
     fn new() -> World {
         let now = Instant::now();
         let workers = (0..WORKERS).map(|at| Held::new(&format!("w{at}"), now)).collect();
-        let mut book = Book::new(1, "gt-1".to_owned());
-        book.workers(WORKERS);
-        book.apply(versioned("plan", Kind::Batch, TASKS, 1), None, true, now);
-        World { now, workers, book, durable: Progress::default(), started: 0 }
+        let mut tracker = JobTracker::new(1, "gt-1".to_owned());
+        tracker.set_worker_count(WORKERS);
+        tracker.apply(versioned("plan", Kind::Batch, TASKS, 1), None, true, now);
+        World { now, workers, tracker, stored_progress: Progress::default(), started: 0 }
     }
 
     fn order(&mut self, index: u32, at: usize, answered: bool) {
         let name = self.workers[at].ledger.worker().clone();
-        let Some(order) = self.book.order("plan", index, &name, self.now) else { return };
+        let Some(order) = self.tracker.create_start_order("plan", index, &name, self.now) else { return };
         self.deliver(&order, at, answered);
     }
 
@@ -117,17 +117,17 @@
         match commit {
             Commit::Accepted => {
                 self.started += 1;
-                self.book.committed(&order.task, order.attempt, self.now);
+                self.tracker.start_committed(&order.task, order.attempt, self.now);
             }
             Commit::Full(_) | Commit::Closed => {
-                self.book.refused(&order.task, order.attempt, Reason::NoWorkers, self.now);
+                self.tracker.start_refused(&order.task, order.attempt, Reason::NoWorkers, self.now);
             }
         }
     }
 
     fn resend(&mut self) {
         self.now += Duration::from_secs(1);
-        for order in self.book.overdue_orders(self.now) {
+        for order in self.tracker.overdue_orders(self.now) {
             let at = self.position(&order.worker);
             self.deliver(&order, at, true);
         }
@@ -142,7 +142,7 @@
             let facts: Vec<_> = held.ledger.task_facts().collect();
             for (key, fact) in facts {
                 let (FactKey::Task(task, attempt), Fact::Task(fact)) = (key, fact) else { continue };
-                self.book.observe(&task, attempt, &fact, false, self.now);
+                self.tracker.observe(&task, attempt, &fact, false, self.now);
             }
         }
         self.compare();
@@ -151,7 +151,7 @@
     /// What the node does with a holder's whole inventory.
     fn compare(&mut self) {
         let mut missing = Vec::new();
-        for (task, attempt, worker) in self.book.may_live() {
+        for (task, attempt, worker) in self.tracker.possibly_live_attempts() {
             let held = &self.workers[self.position(worker)];
             let known = held.ledger.task_facts().any(|(key, _)| key == FactKey::Task(task.clone(), attempt));
             if !known && held.ledger.reachable() {
@@ -159,21 +159,21 @@
             }
         }
         for (task, attempt) in missing {
-            self.book.vanished(&task, attempt, self.now);
+            self.tracker.mark_lost(&task, attempt, self.now);
         }
     }
 
     fn settle(&mut self) {
-        for (name, progress, ends) in self.book.undurable() {
-            self.durable = progress;
-            self.book.durable(&name, &ends);
+        for (name, progress, ends) in self.tracker.unpersisted_ends() {
+            self.stored_progress = progress;
+            self.tracker.mark_persisted(&name, &ends);
         }
-        for order in self.book.take_acknowledgements() {
+        for order in self.tracker.take_acknowledgements() {
             let at = self.position(&order.worker);
             self.workers[at].ledger.acknowledge(&order.task, order.attempt);
         }
-        let strays: Vec<_> = self.book.strays().cloned().collect();
-        for order in self.book.stops(self.now).into_iter().chain(strays) {
+        let orphans: Vec<_> = self.tracker.orphans().cloned().collect();
+        for order in self.tracker.stop_orders(self.now).into_iter().chain(orphans) {
             let at = self.position(&order.worker);
             self.workers[at].ledger.stop(&order.task, order.attempt, self.now);
         }
@@ -181,11 +181,11 @@
 
     /// A new owner reads the record, the progress and the inventories.
     fn new_owner(&mut self) {
-        self.book = Book::new(self.book.epoch() + 1, "gt-1".to_owned());
-        self.book.workers(WORKERS);
-        self.book.apply(versioned("plan", Kind::Batch, TASKS, 1), Some(&self.durable), false, self.now);
+        self.tracker = JobTracker::new(self.tracker.epoch() + 1, "gt-1".to_owned());
+        self.tracker.set_worker_count(WORKERS);
+        self.tracker.apply(versioned("plan", Kind::Batch, TASKS, 1), Some(&self.stored_progress), false, self.now);
         self.observe();
-        self.book.all_accounted(self.now);
+        self.tracker.finish_recovery(self.now);
     }
 
     fn check(&self) -> Result<(), TestCaseError> {
@@ -244,7 +244,7 @@
                 Step::Observe => world.observe(),
                 Step::Settle => world.settle(),
                 Step::Finish(task, at) => {
-                    let id = world.book.jobs()["plan"].id(task);
+                    let id = world.tracker.jobs()["plan"].id(task);
                     world.workers[at].end(&id, None, End::Finished);
                 }
                 Step::Restart(at) => {
--- a/components/node/src/claims.rs
+++ b/components/node/src/claims.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use claim::{Authority, Claim, Step, View};
-use jobs::Book;
+use jobs::JobTracker;
 use member::{Presence, State};
 use model::workload::partition;
 use model::{Partition, Revision};
@@ -164,7 +164,7 @@
     }
     let now = Instant::now();
     shared.holds.raise(number, claim.epoch);
-    let mut book = Book::new(claim.epoch, shared.data_centre().clone());
+    let mut book = JobTracker::new(claim.epoch, shared.data_centre().clone());
     let count = shared.settings.tasks.partitions;
     for versioned in shared.configuration.workloads() {
         let name = &versioned.record.workload.name;
--- a/components/node/src/commit.rs
+++ b/components/node/src/commit.rs
@@ -281,7 +281,7 @@
 
 fn durable(shared: &Arc<Shared>, part: Vec<End>) {
     for ((partition, workload), (_, ends)) in part {
-        shared.partitions.with(partition, |owned| owned.book.durable(&workload, &ends));
+        shared.partitions.with(partition, |owned| owned.book.mark_persisted(&workload, &ends));
     }
 }
 
--- a/components/node/src/owner.rs
+++ b/components/node/src/owner.rs
@@ -7,7 +7,7 @@
 use claim::Authority;
 use facts::{Change, Shown};
 use futures_util::future::join_all;
-use jobs::{Book, Note};
+use jobs::{JobEvent, JobTracker};
 use model::task::{Attempt, Id};
 use model::workload::partition;
 use model::{HostId, Partition, Revision, WorkerId, WorkloadId};
@@ -26,7 +26,7 @@
 
 /// A partition owned by this host.
 pub(crate) struct Owned {
-    pub(crate) book: Book,
+    pub(crate) book: JobTracker,
     pub(crate) authority: Authority,
     /// Revision of the record that claims it: the next change compares with it.
     pub(crate) revision: Revision,
@@ -101,8 +101,8 @@
     let now = Instant::now();
     let Some((epoch, stops, overdue, ends)) = shared.partitions.with(number, |owned| {
         let overdue = owned.book.overdue_orders(now);
-        let mut stops = owned.book.stops(now);
-        let strays = owned.book.strays().filter(|order| owned.unrecorded.contains(&recovery::life_of(&order.task)));
+        let mut stops = owned.book.stop_orders(now);
+        let strays = owned.book.orphans().filter(|order| owned.unrecorded.contains(&recovery::life_of(&order.task)));
         stops.extend(strays.cloned());
         (owned.book.epoch(), stops, overdue, owned.book.take_acknowledgements())
     }) else {
@@ -127,22 +127,23 @@
         }
         owned.compared_at = now;
         let mut gone = Vec::new();
-        for (task, attempt, worker) in owned.book.may_live() {
+        for (task, attempt, worker) in owned.book.possibly_live_attempts() {
             let shown = owned.shown.get(&(task.clone(), attempt));
             if shared.facts.lacks(worker, &task, attempt, shown) {
                 gone.push((task, attempt));
             }
         }
         for (task, attempt) in gone {
-            owned.book.vanished(&task, attempt, now);
+            owned.book.mark_lost(&task, attempt, now);
         }
-        let live: BTreeSet<(Id, Attempt)> = owned.book.may_live().map(|(task, attempt, _)| (task, attempt)).collect();
+        let live: BTreeSet<(Id, Attempt)> =
+            owned.book.possibly_live_attempts().map(|(task, attempt, _)| (task, attempt)).collect();
         owned.shown.retain(|key, _| live.contains(key));
         let workers: BTreeSet<WorkerId> = owned.book.workers_in_use();
         for worker in workers {
             let held = shared.facts.holder(&worker).is_some_and(|(_, fact)| fact.reachable || !fact.lapsed);
             if !held && shared.listing.gone_for(&worker, limits.lease + limits.margin, now) {
-                owned.book.worker_gone(&worker, now);
+                owned.book.mark_worker_lost(&worker, now);
             }
         }
     });
@@ -164,7 +165,7 @@
 
 /// Hands ends that must last to the committer.
 fn write_ends(shared: &Arc<Shared>, number: Partition) {
-    let writes = shared.partitions.with(number, |owned| owned.book.undurable()).unwrap_or_default();
+    let writes = shared.partitions.with(number, |owned| owned.book.unpersisted_ends()).unwrap_or_default();
     for (workload, progress, ends) in writes {
         shared.committer.end(number, workload, progress, ends);
     }
@@ -172,17 +173,17 @@
 
 /// Writes events and metrics of what happened.
 fn note(shared: &Shared, number: Partition) {
-    let notes = shared.partitions.with(number, |owned| owned.book.take_notes()).unwrap_or_default();
+    let notes = shared.partitions.with(number, |owned| owned.book.take_events()).unwrap_or_default();
     for one in notes {
         match one {
-            Note::Started(task, waited) => {
+            JobEvent::Started(task, waited) => {
                 events::emit!(shared.log, events::TASK_STARTED, "task" => task.to_string(), "waited_ms" => waited.as_millis() as u64);
                 note_wait(shared, &task, waited);
             }
-            Note::Parked(workload, reason) => {
+            JobEvent::Parked(workload, reason) => {
                 events::emit!(shared.log, events::TASK_PARKED, "workload" => workload, "why" => reason.to_string());
             }
-            Note::Ended(..) => shared.look_again.notify_one(),
+            JobEvent::Ended(..) => shared.look_again.notify_one(),
         }
     }
 }
@@ -233,7 +234,7 @@
                 let fresh = versioned.revision > owned.revision;
                 owned.book.apply(versioned.as_ref().clone(), progress.as_ref(), fresh, now);
             }
-            _ => owned.book.abandon(name),
+            _ => owned.book.remove_workload(name),
         });
     }
 }
@@ -241,5 +242,5 @@
 /// Takes in what became of orders.
 pub(crate) fn committed(owned: &mut Owned, task: &Id, attempt: Attempt, shown: Shown, now: Instant) {
     owned.shown.insert((task.clone(), attempt), shown);
-    owned.book.committed(task, attempt, now);
+    owned.book.start_committed(task, attempt, now);
 }
--- a/components/node/src/recovery.rs
+++ b/components/node/src/recovery.rs
@@ -71,7 +71,7 @@
 /// Until all workers that an earlier owner may have used are accounted for: tells every holder the claim and
 /// reads its inventory.
 pub(crate) async fn recover(shared: &Arc<Shared>, number: Partition) {
-    let recovering = shared.partitions.with(number, |owned| (!owned.book.accounted(), owned.book.epoch()));
+    let recovering = shared.partitions.with(number, |owned| (!owned.book.is_recovered(), owned.book.epoch()));
     let Some((true, epoch)) = recovering else { return };
     let neighbours = shared.membership.neighbours();
     let request = Request::Announce { partition: number, epoch };
@@ -92,13 +92,13 @@
     let now = Instant::now();
     let workers = shared.listing.workers(shared.data_centre()).len();
     let ready = shared.partitions.with(number, |owned| {
-        owned.book.workers(workers);
+        owned.book.set_worker_count(workers);
         for inventory in &inventories {
             take_inventory(owned, inventory, now);
         }
         match &missing {
-            Some(name) => owned.book.recovering(name),
-            None => owned.book.all_accounted(now),
+            Some(name) => owned.book.set_recovery_reason(name),
+            None => owned.book.finish_recovery(now),
         }
         missing.is_none()
     });
@@ -147,7 +147,7 @@
 /// stopped only when the platform says that there is none.
 pub(crate) async fn confirm_strays(shared: &Arc<Shared>, number: Partition) {
     let doubtful = shared.partitions.with(number, |owned| {
-        let lives: BTreeSet<(WorkloadId, u32)> = owned.book.strays().map(|order| life_of(&order.task)).collect();
+        let lives: BTreeSet<(WorkloadId, u32)> = owned.book.orphans().map(|order| life_of(&order.task)).collect();
         owned.unrecorded.retain(|life| lives.contains(life));
         lives.difference(&owned.unrecorded).cloned().collect::<Vec<_>>()
     });
--- a/components/node/src/schedule.rs
+++ b/components/node/src/schedule.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, UNIX_EPOCH};
 
-use jobs::Claimant;
+use jobs::PendingJob;
 use model::task::{Attempt, Id};
 use model::workload::{Kind, Workload};
 use model::{Epoch, Partition, Reason, Resources, TeamId, WorkerId, WorkloadId};
@@ -26,7 +26,7 @@
 pub(crate) struct Waiting {
     pub(crate) partition: Partition,
     pub(crate) epoch: Epoch,
-    pub(crate) claimant: Claimant,
+    pub(crate) claimant: PendingJob,
     pub(crate) workload: Workload,
     avoided: Vec<WorkerId>,
     pub(crate) accepted_ms: u64,
@@ -84,7 +84,7 @@
         }
         let found = shared.partitions.with(partition, |owned| {
             let epoch = owned.book.epoch();
-            let claimants = owned.book.claimants(now).into_iter();
+            let claimants = owned.book.pending_jobs(now).into_iter();
             let with_job = claimants.filter_map(|claimant| {
                 let job = owned.book.jobs().get(&claimant.workload)?;
                 let accepted = job.versioned.record.accepted_at.duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -92,7 +92,7 @@
                     partition,
                     epoch,
                     workload: job.workload().clone(),
-                    avoided: job.failures.avoided(now).cloned().collect(),
+                    avoided: job.failures.avoided_workers(now).cloned().collect(),
                     accepted_ms: accepted.as_millis() as u64,
                     claimant,
                 })
@@ -196,7 +196,7 @@
         Choice::Waiting(reason) | Choice::Impossible(reason) => reason.clone(),
         Choice::Placed(_) => return,
     };
-    shared.partitions.with(one.partition, |owned| owned.book.explain(&one.workload.name, &reason));
+    shared.partitions.with(one.partition, |owned| owned.book.set_waiting_reason(&one.workload.name, &reason));
     if let Choice::Waiting(Reason::NoRoom { .. } | Reason::GangIncomplete { .. }) = choice {
         make_room(shared, pass, keeping, one).await;
     }
@@ -283,7 +283,7 @@
     let now = Instant::now();
     let order = shared.partitions.with(one.partition, |owned| {
         let current = owned.book.epoch() == one.epoch && owned.authority.check(now);
-        current.then(|| owned.book.order(&one.workload.name, position, &worker, now)).flatten()
+        current.then(|| owned.book.create_start_order(&one.workload.name, position, &worker, now)).flatten()
     });
     let Some(order) = order.flatten() else { return false };
     pass.cell.take(at, &one.workload.each);
--- a/components/node/src/send.rs
+++ b/components/node/src/send.rs
@@ -69,7 +69,7 @@
                 StartAnswer::NotHolder | StartAnswer::Superseded(_) => continue,
             };
             refused = true;
-            owned.book.refused(&order.task, order.attempt, reason, now);
+            owned.book.start_refused(&order.task, order.attempt, reason, now);
         }
     });
     if refused {
--- a/components/node/src/sweep.rs
+++ b/components/node/src/sweep.rs
@@ -29,7 +29,7 @@
 
 async fn sweep(shared: &Shared, number: Partition) {
     let (keep, now) = (shared.settings.tasks.keep_finished, Instant::now());
-    let found = shared.partitions.with(number, |owned| (owned.revision, owned.book.expired(keep, now)));
+    let found = shared.partitions.with(number, |owned| (owned.revision, owned.book.expired_workloads(keep, now)));
     let Some((claim, expired)) = found else { return };
     for some in expired.chunks(AT_ONCE) {
         let txn = removal(shared, number, claim, some);
