--- a/components/console/src/server.rs
+++ b/components/console/src/server.rs
@@ -65,7 +65,7 @@
 impl Id {
     fn job(&self) -> Result<work::JobId, HttpError> {
         let fault = || HttpError::for_bad_request(None, format!("`{}` is not 16 hexadecimal digits", self.id));
-        work::parse_job(&self.id).ok_or_else(fault)
+        work::parse_job_id(&self.id).ok_or_else(fault)
     }
 }
 
--- a/components/console/src/types.rs
+++ b/components/console/src/types.rs
@@ -124,7 +124,7 @@
             checkpoints: step.checkpoints,
             label: step.label.clone(),
             rack: step.rack.clone(),
-            spread: step.spread,
+            max_per_worker: step.spread,
             ..work::Step::default()
         });
         work::Job { specification: self.specification.clone(), steps: steps.collect(), schedule: None }
--- a/components/entry/src/access.rs
+++ b/components/entry/src/access.rs
@@ -6,7 +6,7 @@
 use sched::Owner;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
-use work::key::{Denial, Presented};
+use work::key::{Credential, Denial};
 use work::{Config, Queue, QueueName, WorkspaceName};
 
 /// Who makes a call.
@@ -24,7 +24,7 @@
     /// The queue.
     pub queue: QueueName,
     /// What it brought.
-    pub key: Presented,
+    pub key: Credential,
     /// Its workspace; none where the queue is public.
     pub workspace: Option<WorkspaceName>,
     /// Version of the configuration by which this was found.
@@ -75,7 +75,7 @@
     config: &'a Config,
     name: &str,
     path: &str,
-    key: Presented,
+    key: Credential,
 ) -> Result<(&'a Queue, Client), Refusal> {
     let queue = config.route(name, path).ok_or(Refusal::NoQueue)?;
     let workspace = config.admit(queue, key).map_err(Refusal::Denied)?.map(|workspace| workspace.name.clone());
--- a/components/entry/src/follow.rs
+++ b/components/entry/src/follow.rs
@@ -5,7 +5,7 @@
 
 use events::emit;
 use work::Queue;
-use work::key::{Denial, Presented};
+use work::key::{Credential, Denial};
 
 use crate::access::{self, Client, Refusal};
 use crate::edge::Change;
@@ -112,7 +112,7 @@
 
 /// Finds the queue and the workspace of a call that arrives. Where this host's configuration doesn't know them, it must be recent:
 /// else the call waits for a sign that it is. It costs the store and the leader nothing, however many such calls come.
-pub(crate) async fn admit(host: &Host, name: &str, path: &str, key: Presented, until: Instant) -> Admission {
+pub(crate) async fn admit(host: &Host, name: &str, path: &str, key: Credential, until: Instant) -> Admission {
     let until = until.min(Instant::now() + LONGEST_LOOK);
     let mut known = host.configs_known();
     loop {
--- a/components/entry/src/host.rs
+++ b/components/entry/src/host.rs
@@ -9,7 +9,7 @@
 use parking_lot::Mutex;
 use slog::Logger;
 use tokio::sync::watch;
-use work::key::Presented;
+use work::key::Credential;
 use work::{Config, Unit, WorkerId};
 
 use crate::edge::{Adviser, Directory, Fault, Store, Workers};
@@ -206,7 +206,7 @@
     }
 
     /// Finds the queue and the workspace of a caller's call, by the host name, the path and the key that it brings.
-    pub async fn admit(&self, name: &str, path: &str, key: Presented, until: Instant) -> Admission {
+    pub async fn admit(&self, name: &str, path: &str, key: Credential, until: Instant) -> Admission {
         follow::admit(self, name, path, key, until).await
     }
 
--- a/components/entry/src/reign.rs
+++ b/components/entry/src/reign.rs
@@ -66,7 +66,7 @@
     pub(crate) seat: Mutex<Seat>,
     /// The parts of the log, in order.
     pub(crate) parts: Mutex<Vec<Stored>>,
-    /// Parts of earlier leaders that the first transaction removes; see [`work::log::Read`].
+    /// Parts of earlier leaders that the first transaction removes; see [`work::log::ClassifiedParts`].
     pub(crate) stale: Mutex<Vec<PartId>>,
     /// When it was last certain that nobody else led.
     confirmed: Latest,
--- a/components/entry/src/reign/accept.rs
+++ b/components/entry/src/reign/accept.rs
@@ -48,7 +48,7 @@
         }
         let Scope::Only(Some(workspace)) = scope else { return None };
         let excess = engine.excess(workspace, job)?;
-        emit!(self.host.log, events::JOB_REFUSED, "job" => work::job_name(id), "why" => excess.to_string(),
+        emit!(self.host.log, events::JOB_REFUSED, "job" => work::format_job_id(id), "why" => excess.to_string(),
             "workspace" => workspace, "config" => self.host.config().version, "term" => self.term);
         Some(Answer::Excessive(excess))
     }
@@ -61,7 +61,7 @@
 
     fn refuse(&self, id: JobId, objective: Duration) -> Answer {
         let after = retry_after(objective);
-        emit!(self.host.log, events::JOB_REFUSED, "job" => work::job_name(id), "why" => "the store is away",
+        emit!(self.host.log, events::JOB_REFUSED, "job" => work::format_job_id(id), "why" => "the store is away",
             "retry_after_ms" => after.as_millis() as u64, "term" => self.term);
         Answer::Refused(after)
     }
--- a/components/entry/src/reign/agent.rs
+++ b/components/entry/src/reign/agent.rs
@@ -9,7 +9,7 @@
 use sched::{Lease, Report, USUAL_PAUSE};
 use tokio::sync::{Notify, Semaphore, SemaphorePermit};
 use tokio::task::AbortHandle;
-use work::Life;
+use work::WorkerIncarnation;
 
 use crate::edge::{Fault, Held, Renewal, Reply, Target};
 use crate::reign::Reign;
@@ -238,7 +238,7 @@
 
     /// Whether the life that answers is another one than this. An order names the worker only, and reaches whichever life is there.
     fn is_other(&self, born: Option<u64>) -> bool {
-        let own = Life::of(&self.target.id).born;
+        let own = WorkerIncarnation::from_id(&self.target.id).born;
         own.is_some() && born.is_some() && own != born
     }
 
@@ -247,7 +247,7 @@
         let id = &self.target.id;
         let host = &self.reign.host;
         emit!(host.log, events::WORKER_REPLACED, "worker" => id, "address" => &self.target.address);
-        let next = born.map(|born| Life { born: Some(born), ..Life::of(id) }.id());
+        let next = born.map(|born| WorkerIncarnation { born: Some(born), ..WorkerIncarnation::from_id(id) }.id());
         self.reign.engine.lock().superseded(host.clock(), id, next);
         self.reign.agents.lock().remove(id);
         follow(&self.reign);
--- a/components/entry/src/reign/commit.rs
+++ b/components/entry/src/reign/commit.rs
@@ -13,8 +13,8 @@
 use futures_util::stream::{FuturesOrdered, FuturesUnordered};
 use model::Resources;
 use tokio::time::Instant;
-use work::log::{FIRST, Part, PartId};
-use work::{Record, job_name};
+use work::log::{FIRST_PART, Part, PartId};
+use work::{Record, format_job_id};
 
 use crate::edge::{Commit, Fault, Put, Transaction};
 use crate::election::{TERM_KEY, leader_put};
@@ -73,7 +73,7 @@
 
 /// Writes whenever something is owed, until the reign ends.
 pub(crate) async fn run(reign: Arc<Reign>) {
-    let mut writer = Writer { reign: reign.clone(), next: FIRST, settled: FIRST, due: Instant::now() };
+    let mut writer = Writer { reign: reign.clone(), next: FIRST_PART, settled: FIRST_PART, due: Instant::now() };
     let mut under_way = FuturesOrdered::new();
     loop {
         let sent = under_way.len();
@@ -138,8 +138,8 @@
     /// else, since a reader couldn't tell whether it was.
     fn removed(&self, part: Option<PartId>) -> Vec<PartId> {
         match part {
-            Some(id) if id.number == FIRST => self.reign.stale.lock().clone(),
-            _ if self.settled > FIRST => parts::removable(&self.reign),
+            Some(id) if id.number == FIRST_PART => self.reign.stale.lock().clone(),
+            _ if self.settled > FIRST_PART => parts::removable(&self.reign),
             _ => Vec::new(),
         }
     }
@@ -305,16 +305,18 @@
 fn log_record(reign: &Reign, record: &Record, revision: u64) {
     let log = &reign.host.log;
     match record {
-        Record::Accepted { id, queue, workspace, job, .. } => emit!(log, events::JOB_ACCEPTED, "job" => job_name(*id),
+        Record::Accepted { id, queue, workspace, job, .. } => {
+            emit!(log, events::JOB_ACCEPTED, "job" => format_job_id(*id),
             "queue" => queue, "workspace" => workspace, "steps" => job.steps.len(),
             "tasks" => job.steps.iter().map(|step| step.count).sum::<u32>(),
             "largest" => job.steps.iter().map(|step| step.need).fold(Resources::ZERO, |most, need| most.max(&need)).to_string(),
-            "revision" => revision, "term" => reign.term),
+            "revision" => revision, "term" => reign.term)
+        }
         Record::Ended { id, outcome, .. } => {
             let summary = reign.engine.lock().summary(*id).unwrap_or_default();
             let took = summary.took;
             reign.host.metrics.job_seconds.observe(took.as_secs_f64());
-            emit!(log, events::JOB_ENDED, "job" => job_name(*id), "outcome" => format!("{outcome:?}"),
+            emit!(log, events::JOB_ENDED, "job" => format_job_id(*id), "outcome" => format!("{outcome:?}"),
                 "queue" => summary.queue, "took_ms" => took.as_millis() as u64,
                 "objective_ms" => summary.objective.as_millis() as u64, "revision" => revision, "term" => reign.term);
         }
--- a/components/entry/src/reign/flight.rs
+++ b/components/entry/src/reign/flight.rs
@@ -48,7 +48,7 @@
     /// Takes a job out of a part that surely isn't written. Whether it could.
     pub(crate) fn withdraw(&self, id: JobId) -> bool {
         let accepts = |record: &Record| matches!(record, Record::Accepted { id: other, .. } if *other == id);
-        let of_job = |record: &Record| record.job() == Some(id) || record.placed() == Some(id);
+        let of_job = |record: &Record| record.job() == Some(id) || record.placed_job() == Some(id);
         let mut flights = self.0.lock();
         let surely = flights.values().any(|flight| !flight.doubtful && flight.part.records.iter().any(accepts));
         // What was decided of it since may be in a later part that is in doubt: then it stays.
--- a/components/entry/src/reign/parts.rs
+++ b/components/entry/src/reign/parts.rs
@@ -89,12 +89,12 @@
     if let Some(item) = items.iter().find(|item| !readable(item)) {
         bail!("{} is of another format than {}: another version of this program has written it", item.key, FORMAT[1]);
     }
-    let read = work::log::read(items.iter().filter_map(|item| read_part(host, item)));
+    let read = work::log::classify_parts(items.iter().filter_map(|item| read_part(host, item)));
     let (beyond, stale) = read.stale.split_at(read.stale.len().saturating_sub(MOST_REMOVED));
     for parts in beyond.chunks(MOST_REMOVED) {
         remove(host, seat, parts).await?;
     }
-    Ok(Found { log: read.parts, stale: stale.to_vec() })
+    Ok(Found { log: read.valid, stale: stale.to_vec() })
 }
 
 /// Removes parts, as long as nobody else claims.
--- a/components/entry/tests/access.rs
+++ b/components/entry/tests/access.rs
@@ -8,7 +8,7 @@
 use entry::{AccessRefusal, Admission, Answer, Call, Caller, Client, Host};
 use model::Resources;
 use support::{PATIENCE, ask, cell, config, hosts, job, until};
-use work::key::{Denial, Digest, Presented};
+use work::key::{Credential, Denial, Digest};
 use work::{Config, JobId, State, Workspace};
 
 /// Calls with made-up keys in the flood.
@@ -27,12 +27,12 @@
     Config::new(version, queues, 10_000).with_workspaces(workspaces)
 }
 
-async fn admit(host: &Host, key: Presented) -> Admission {
+async fn admit(host: &Host, key: Credential) -> Admission {
     host.admit("queues.example", "/plans/x", key, Instant::now() + PATIENCE).await
 }
 
-fn key(text: &str) -> Presented {
-    Presented::Key(Digest::of(text))
+fn key(text: &str) -> Credential {
+    Credential::Key(Digest::of(text))
 }
 
 /// The caller of a call with this key, which the host lets in.
@@ -66,8 +66,8 @@
     let hosts = hosts(&cell, 2).await;
     until("the configuration", || hosts[1].config().version == 2).await;
     for (brought, denial) in [
-        (Presented::Nothing, Denial::Missing),
-        (Presented::Malformed, Denial::Malformed),
+        (Credential::Nothing, Denial::Missing),
+        (Credential::Malformed, Denial::Malformed),
         (key("four"), Denial::Unknown),
     ] {
         let admission = admit(&hosts[1], brought).await;
@@ -153,7 +153,7 @@
     let hosts = hosts(&cell, 1).await;
     let host = &hosts[0];
     until("the first", || host.config().version == 2).await;
-    let Admission::Granted(_, anybody) = admit(host, Presented::Nothing).await else { panic!("it is public") };
+    let Admission::Granted(_, anybody) = admit(host, Credential::Nothing).await else { panic!("it is public") };
     assert_eq!(submit_as(host, &Caller::Client(anybody), 7, 1).await, Answer::Accepted);
     cell.configure(keyed(3, &[("rail", &["one"]), ("port", &["two"])]));
     until("the second", || host.config().version == 3).await;
--- a/components/fakes/src/cell.rs
+++ b/components/fakes/src/cell.rs
@@ -17,7 +17,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::time::Instant;
-use work::{Attempt, Config, Life, Task, Unit, WorkerId};
+use work::{Attempt, Config, Task, Unit, WorkerId, WorkerIncarnation};
 
 use crate::runner::Runner;
 use calls::{Answering, Calls, Waiting};
@@ -434,7 +434,9 @@
             !std::mem::take(&mut self.cell.state.lock().broken_list),
             "the list breaks its reader, as a test wants it"
         );
-        let life = |(name, worker): (&String, &Runner)| (Life { name, born: worker.born }.id(), worker.info.clone());
+        let life = |(name, worker): (&String, &Runner)| {
+            (WorkerIncarnation { name, born: worker.born }.id(), worker.info.clone())
+        };
         self.store(|state| state.workers.iter().map(life).collect())
     }
 }
--- a/components/fakes/src/cell/workers.rs
+++ b/components/fakes/src/cell/workers.rs
@@ -5,7 +5,7 @@
 use async_trait::async_trait;
 use entry::{Fault, Held, Order, Renewal, Reply, Target};
 use tokio::time::Instant;
-use work::{Attempt, Life, Task, Term};
+use work::{Attempt, Task, Term, WorkerIncarnation};
 
 use super::View;
 use super::calls::{FirstCall, reply};
@@ -36,7 +36,7 @@
         let ends = || {
             let now = self.cell.now();
             let mut state = self.cell.state.lock();
-            let runner = state.workers.get_mut(Life::of(&target.id).name)?;
+            let runner = state.workers.get_mut(WorkerIncarnation::from_id(&target.id).name)?;
             runner.tick(now);
             Some(runner.numbers)
         };
@@ -49,7 +49,9 @@
     fn at<T>(&self, target: &Target, order: impl FnOnce(&mut Runner, Duration) -> T) -> Result<Reply<T>, Fault> {
         let now = self.cell.now();
         let mut state = self.cell.state.lock();
-        let Some(runner) = state.workers.get_mut(Life::of(&target.id).name) else { return Ok(Reply::OtherLife) };
+        let Some(runner) = state.workers.get_mut(WorkerIncarnation::from_id(&target.id).name) else {
+            return Ok(Reply::OtherLife);
+        };
         if !runner.reachable {
             return Err(Fault::NotDone("unreachable".to_owned()));
         }
--- a/components/sched/src/assemble.rs
+++ b/components/sched/src/assemble.rs
@@ -97,7 +97,7 @@
 
     /// Claims room for all of a gang that waits, and stops what must go for it. Nothing where that isn't enough.
     pub(crate) fn assemble(&mut self, clock: Clock, unit: Unit, step: &Step, queue: &Queue, room: &Room) {
-        if !step.gang || step.lasting {
+        if !step.gang || step.long_running {
             return;
         }
         let due = |state: &UnitState| state.pending == state.tasks.len() && clock.now >= state.assemble_at;
--- a/components/sched/src/ends.rs
+++ b/components/sched/src/ends.rs
@@ -87,7 +87,7 @@
             worker.failures = 0;
         }
         let Some(step) = self.step(task) else { return };
-        if step.lasting {
+        if step.long_running {
             return;
         }
         let gang = step.gang;
@@ -125,7 +125,7 @@
         self.distrust(clock, id);
         let Some(entry) = self.jobs.get(&task.unit.job) else { return };
         let Some(step) = entry.step(task.unit.step) else { return };
-        let (gang, lasting, ended) = (step.gang, step.lasting, entry.outcome.is_some());
+        let (gang, lasting, ended) = (step.gang, step.long_running, entry.outcome.is_some());
         let most = self.queues.get(&entry.queue).map_or(u32::MAX, |queue| queue.max_attempts);
         let Some(unit) = self.unit_mut(task.unit) else { return };
         let Some(state) = unit.tasks.get(task.index as usize) else { return };
@@ -254,7 +254,7 @@
 
 /// What a task of a step takes of its worker's room.
 pub(crate) fn taken_room(step: &Step) -> Resources {
-    match step.fills {
+    match step.best_effort_cpu {
         true => Resources { cpu_milli: 0, ..step.need },
         false => step.need,
     }
--- a/components/sched/src/list.rs
+++ b/components/sched/src/list.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use work::{Life, Record, WorkerId};
+use work::{Record, WorkerId, WorkerIncarnation};
 
 use crate::engine::{Action, Clock, Engine};
 use crate::loss::{Ended, Passing};
@@ -47,7 +47,7 @@
     /// What an entry under this id says of the workers that are known.
     fn entry(&self, id: &str) -> Entry {
         let Some(known) = self.namesake(id) else { return Entry::New };
-        match (Life::of(id).born, Life::of(&known).born) {
+        match (WorkerIncarnation::from_id(id).born, WorkerIncarnation::from_id(&known).born) {
             _ if self.superseded.contains(id) => Entry::Late(known),
             (Some(born), Some(latest)) if born < latest => Entry::Late(known),
             (Some(born), Some(latest)) if born > latest => Entry::New,
@@ -58,12 +58,12 @@
 
     /// The newest known life of the worker that an id names.
     pub(crate) fn namesake(&self, id: &str) -> Option<WorkerId> {
-        let name = Life::of(id).name;
-        let first = Life { name, born: Some(0) }.id();
+        let name = WorkerIncarnation::from_id(id).name;
+        let first = WorkerIncarnation { name, born: Some(0) }.id();
         let born = self.workers.range(first..).map(|(id, _)| id);
-        let lives = born.take_while(|id| Life::of(id).name == name);
+        let lives = born.take_while(|id| WorkerIncarnation::from_id(id).name == name);
         let unborn = self.workers.get_key_value(name).map(|(id, _)| id);
-        lives.chain(unborn).max_by_key(|id| Life::of(id).born).cloned()
+        lives.chain(unborn).max_by_key(|id| WorkerIncarnation::from_id(id).born).cloned()
     }
 
     /// Takes the lives that are listed now. Those without an entry of their own stay as they are.
@@ -105,14 +105,14 @@
         }
         let mut latest: BTreeMap<&str, u64> = BTreeMap::new();
         for (id, info) in present.iter().filter_map(|(id, info)| Some((id, info.as_ref()?))) {
-            let Some(born) = Life::of(id).born else { continue };
-            for place in [Life::of(id).name, info.address.as_str()] {
+            let Some(born) = WorkerIncarnation::from_id(id).born else { continue };
+            for place in [WorkerIncarnation::from_id(id).name, info.address.as_str()] {
                 let known = latest.entry(place).or_insert(born);
                 *known = born.max(*known);
             }
         }
         let followed = |(id, worker): &(&WorkerId, &Worker)| {
-            let Life { name, born } = Life::of(id);
+            let WorkerIncarnation { name, born } = WorkerIncarnation::from_id(id);
             let later = |place: &str| latest.get(place).is_some_and(|latest| born.is_some_and(|born| *latest > born));
             later(name) || later(&worker.info.address)
         };
--- a/components/sched/src/loss.rs
+++ b/components/sched/src/loss.rs
@@ -130,7 +130,7 @@
             confirmed: matches!(run.phase, Phase::Running(_)),
             sole: new.len() == 1,
             explained: run.shown && worker.suspects > 0,
-            lasting: self.step(*task).is_some_and(|step| step.lasting),
+            lasting: self.step(*task).is_some_and(|step| step.long_running),
             ..Lost::inherited(*task, *attempt)
         };
         sent.iter().map(lost).collect()
--- a/components/sched/src/preempt.rs
+++ b/components/sched/src/preempt.rs
@@ -53,7 +53,7 @@
 impl Engine {
     /// Makes room for one waiting task of a unit, unless room is being made for all of them.
     pub(crate) fn make_room(&mut self, clock: Clock, unit: Unit, step: &Step, queue: &Queue, room: &Room) {
-        if step.gang || step.lasting {
+        if step.gang || step.long_running {
             return;
         }
         let Some(state) = self.unit(unit) else { return };
@@ -106,7 +106,7 @@
 
     /// Priority of a unit's queue, if its runs lose little when they are stopped.
     pub(crate) fn stoppable_for(&self, unit: Unit, step: &Step) -> Option<u32> {
-        let saves = step.checkpoints && !step.lasting && !step.gang;
+        let saves = step.checkpoints && !step.long_running && !step.gang;
         let entry = self.jobs.get(&unit.job).filter(|_| saves)?;
         self.queues.get(&entry.queue).map(|queue| queue.priority)
     }
--- a/components/sched/src/records.rs
+++ b/components/sched/src/records.rs
@@ -27,7 +27,7 @@
     pub fn take_records(&mut self, most: usize) -> (Vec<Record>, u64) {
         let mut weight = 0;
         let fits = |(_, record): &&(u64, Record)| {
-            weight += record.weight();
+            weight += record.approximate_size();
             weight <= most
         };
         let count = self.records.iter().take_while(fits).count().max(1).min(self.records.len());
@@ -56,7 +56,7 @@
 
     /// Forgets a job that isn't in the log, and never will be.
     pub fn retract(&mut self, id: JobId) {
-        self.records.retain(|(_, record)| record.job() != Some(id) && record.placed() != Some(id));
+        self.records.retain(|(_, record)| record.job() != Some(id) && record.placed_job() != Some(id));
         // If the job comes again, its starts have the same numbers.
         self.decided.retain(|(_, _, start)| start.task.unit.job != id);
         for worker in self.workers.values_mut() {
--- a/components/sched/src/restore.rs
+++ b/components/sched/src/restore.rs
@@ -116,7 +116,7 @@
         let Some(queue) = self.queues.get(&entry.queue) else { return false };
         let most = queue.max_attempts as usize;
         let spent = |((_, step), unit): (&(u32, u16), &UnitState)| {
-            let lasting = entry.step(*step).is_some_and(|step| step.lasting);
+            let lasting = entry.step(*step).is_some_and(|step| step.long_running);
             let task_spent = |task: &TaskState| task.phase != Phase::Done && task.failed.len() >= most;
             let gang_spent = !unit.complete() && unit.failed.len() >= most;
             !lasting && (gang_spent || unit.tasks.iter().any(task_spent))
--- a/components/sched/src/room.rs
+++ b/components/sched/src/room.rs
@@ -114,7 +114,7 @@
             return 0;
         }
         let slots = self.slots(free, &taken_room(step));
-        match step.spread {
+        match step.max_per_worker {
             0 => slots,
             most => slots.min(most.saturating_sub(held_on(state, &self.id)) as usize),
         }
--- a/components/sched/tests/decisions/advice.rs
+++ b/components/sched/tests/decisions/advice.rs
@@ -70,7 +70,7 @@
 
 #[test]
 fn a_worker_that_holds_as_many_of_the_step_as_it_may_is_not_asked_about_again() {
-    let (mut cell, starts) = two_of_twelve(Step { spread: 1, lasting: true, ..step(2, 1) });
+    let (mut cell, starts) = two_of_twelve(Step { max_per_worker: 1, long_running: true, ..step(2, 1) });
     assert_eq!(starts.len(), 2);
     let ((lost, failed), kept) = (&starts[0], &starts[1]);
     cell.end(lost, failed, How::Failed);
--- a/components/sched/tests/decisions/crash.rs
+++ b/components/sched/tests/decisions/crash.rs
@@ -189,7 +189,7 @@
 #[test]
 fn a_lasting_task_that_served_for_long_outlives_any_number_of_workers() {
     let mut cell = Cell::new(4).ready();
-    cell.submit(1, "urgent", vec![Step { lasting: true, ..step(1, 1) }]);
+    cell.submit(1, "urgent", vec![Step { long_running: true, ..step(1, 1) }]);
     for _ in 0..12 {
         let (worker, start) = start_of(&mut cell, 1).expect("it starts again");
         cell.now += Duration::from_secs(40);
@@ -204,7 +204,7 @@
 #[test]
 fn a_lasting_task_that_takes_workers_down_is_given_up() {
     let mut cell = Cell::new(4).ready();
-    cell.submit(1, "urgent", vec![Step { lasting: true, ..step(1, 1) }]);
+    cell.submit(1, "urgent", vec![Step { long_running: true, ..step(1, 1) }]);
     take_workers_down(&mut cell);
 }
 
--- a/components/sched/tests/decisions/doubt.rs
+++ b/components/sched/tests/decisions/doubt.rs
@@ -9,7 +9,7 @@
 
 /// A run of a task on each of the workers, which has begun.
 fn one_run_each(cell: &mut Cell, workers: usize) -> Vec<(String, sched::Start)> {
-    cell.submit(1, "urgent", vec![Step { spread: 1, ..step(workers as u32, 1) }]);
+    cell.submit(1, "urgent", vec![Step { max_per_worker: 1, ..step(workers as u32, 1) }]);
     let starts = cell.starts();
     starts.iter().for_each(|(worker, start)| cell.started(worker, start));
     starts
--- a/components/sched/tests/decisions/main.rs
+++ b/components/sched/tests/decisions/main.rs
@@ -216,7 +216,7 @@
     cell.engine.plan(cell.clock());
     assert!(cell.engine.withdraw(1));
     assert!(cell.starts().is_empty());
-    assert!(!cell.log.iter().any(|record| record.placed() == Some(1)), "no trace of it: {:?}", cell.log);
+    assert!(!cell.log.iter().any(|record| record.placed_job() == Some(1)), "no trace of it: {:?}", cell.log);
     assert_eq!(cell.engine.state(1), None);
     cell.submit(2, "urgent", vec![step(1, 1)]);
     assert!(!cell.engine.withdraw(2), "its record is written");
@@ -346,7 +346,7 @@
     let job = |steps, schedule| work::Job { specification: String::new(), steps, schedule };
     let refused = [
         job(vec![Step { estimate: year, ..step(1, 1) }], None),
-        job(vec![Step { tail: year, ..step(1, 1) }], None),
+        job(vec![Step { max_tail_latency: year, ..step(1, 1) }], None),
         job(vec![step(2000, 1); 6], None),
         job(vec![step(1, 1)], schedule(u32::MAX)),
         job(vec![step(1, 1)], schedule(0)),
--- a/components/sched/tests/decisions/preempt.rs
+++ b/components/sched/tests/decisions/preempt.rs
@@ -61,7 +61,7 @@
     let (mut cell, _) = busy(Step { checkpoints: false, ..accelerated(2, 1) });
     cell.submit(2, "urgent", vec![accelerated(1, 8)]);
     assert_eq!(stops(&mut cell), 0);
-    let (mut cell, _) = busy(Step { lasting: true, ..accelerated(2, 1) });
+    let (mut cell, _) = busy(Step { long_running: true, ..accelerated(2, 1) });
     cell.submit(2, "urgent", vec![accelerated(1, 8)]);
     assert_eq!(stops(&mut cell), 0);
 }
--- a/components/sched/tests/decisions/workers.rs
+++ b/components/sched/tests/decisions/workers.rs
@@ -43,7 +43,7 @@
 #[test]
 fn an_evacuated_worker_gets_nothing_new_until_that_is_taken_back() {
     let mut cell = Cell::new(2).ready();
-    cell.submit(1, "urgent", vec![Step { spread: 1, ..step(2, 1) }]);
+    cell.submit(1, "urgent", vec![Step { max_per_worker: 1, ..step(2, 1) }]);
     let sent = cell.starts();
     let waiting = sent.iter().find(|(worker, _)| worker == "w0").expect("one each");
     cell.infos.get_mut("w0").expect("listed").evacuated = true;
--- a/components/sched/tests/world/checks.rs
+++ b/components/sched/tests/world/checks.rs
@@ -84,7 +84,7 @@
     /// Jobs that were accepted and haven't ended.
     pub fn unfinished(&self) -> Vec<String> {
         let ended = |id: &&JobId| matches!(self.leader.engine.state(**id), Some(State::Ended(_)));
-        self.accepted.iter().filter(|id| !ended(id)).map(|id| work::job_name(*id)).collect()
+        self.accepted.iter().filter(|id| !ended(id)).map(|id| work::format_job_id(*id)).collect()
     }
 
     /// Runs of jobs that have ended.
--- a/components/sched/tests/world/crashes.rs
+++ b/components/sched/tests/world/crashes.rs
@@ -7,7 +7,7 @@
 use fakes::runner::Runner;
 use rand::Rng;
 use sched::Info;
-use work::{Attempt, JobId, Life, Outcome, State, Task, Term, WorkerId};
+use work::{Attempt, JobId, Outcome, State, Task, Term, WorkerId, WorkerIncarnation};
 
 use super::{MAX_ATTEMPTS, World};
 
@@ -105,7 +105,11 @@
     /// written once the former one would have run out.
     pub(super) fn listed(&self) -> BTreeMap<WorkerId, Info> {
         let lingering: Vec<_> = self.crashes.iter().flat_map(|crashes| &crashes.lingering).collect();
-        let hidden = |id: &str| lingering.iter().any(|(former, _)| Life::of(former).name == Life::of(id).name);
+        let hidden = |id: &str| {
+            lingering
+                .iter()
+                .any(|(former, _)| WorkerIncarnation::from_id(former).name == WorkerIncarnation::from_id(id).name)
+        };
         let workers = self.workers.iter().filter(|(id, _)| !hidden(id)).map(|(id, worker)| (id, &worker.info));
         let entries = lingering.iter().map(|(id, (info, _))| (*id, info));
         entries.chain(workers).map(|(id, info)| (id.clone(), info.clone())).collect()
@@ -137,7 +141,7 @@
             let ends = self.ended_under.iter().filter(|(task, _)| task.unit.job == *id).map(|(_, ends)| *ends).max();
             ends.unwrap_or_default() >= ENDS_TO_GIVE_UP
         };
-        self.failed_otherwise().filter(|id| !with_cause(id)).map(work::job_name).collect()
+        self.failed_otherwise().filter(|id| !with_cause(id)).map(work::format_job_id).collect()
     }
 
     /// Jobs that were given up though none of their tasks takes workers down.
--- a/components/sched/tests/world/mod.rs
+++ b/components/sched/tests/world/mod.rs
@@ -14,7 +14,9 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use sched::{Action, Clock, How, OrderOutcome, Report, Start, Ticket};
-use work::{Advice, Attempt, Config, Job, JobId, Life, Outcome, Queue, Record, Task, Term, WorkerId, Workspace};
+use work::{
+    Advice, Attempt, Config, Job, JobId, Outcome, Queue, Record, Task, Term, WorkerId, WorkerIncarnation, Workspace,
+};
 
 use crashes::Crashes;
 use fakes::runner::{Reply, Run, Runner};
@@ -275,7 +277,7 @@
 
     /// The life that an order for this one reaches, if any: orders name the worker only.
     fn reached(&self, id: &str) -> Option<WorkerId> {
-        let same = |life: &&WorkerId| Life::of(life).name == Life::of(id).name;
+        let same = |life: &&WorkerId| WorkerIncarnation::from_id(life).name == WorkerIncarnation::from_id(id).name;
         self.workers.keys().find(same).cloned()
     }
 
--- a/components/work/examples/routes.rs
+++ b/components/work/examples/routes.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use model::Resources;
-use work::key::{Digest, Presented};
+use work::key::{Credential, Digest};
 use work::{Config, Queue, Workspace};
 
 const WORKSPACES: usize = 120;
@@ -67,7 +67,7 @@
         });
         let keys: Vec<String> = (0..WORKSPACES).map(|number| format!("key{number}")).collect();
         let key = nanoseconds(|look| {
-            let presented = Presented::Key(Digest::of(&keys[look % keys.len()]));
+            let presented = Credential::Key(Digest::of(&keys[look % keys.len()]));
             let _ = black_box(config.admit(&config.queues[0], presented));
         });
         let bytes = postcard::to_stdvec(&config).map_or(0, |bytes| bytes.len());
--- a/components/work/src/id.rs
+++ b/components/work/src/id.rs
@@ -11,7 +11,7 @@
 pub type QueueName = String;
 /// A workspace's name in the configuration.
 pub type WorkspaceName = String;
-/// One life of a worker; see [`crate::Life`].
+/// One life of a worker; see [`crate::WorkerIncarnation`].
 pub type WorkerId = String;
 /// Number of a reign: each leader has a higher one than all before it. It fences orders to workers.
 pub type Term = u64;
@@ -22,13 +22,13 @@
 const DIGITS: usize = 16;
 
 /// Reads a job's id: exactly 16 lower-case hexadecimal digits.
-pub fn parse_job(text: &str) -> Option<JobId> {
+pub fn parse_job_id(text: &str) -> Option<JobId> {
     let plain = text.len() == DIGITS && text.bytes().all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b));
     plain.then(|| u64::from_str_radix(text, 16).ok()).flatten()
 }
 
 /// Writes a job's id as its caller wrote it.
-pub fn job_name(id: JobId) -> String {
+pub fn format_job_id(id: JobId) -> String {
     format!("{id:016x}")
 }
 
@@ -67,16 +67,16 @@
 /// A text that names no task.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("`{0}` is not the name of a task")]
-pub struct NotATask(String);
+pub struct ParseTaskError(String);
 
 impl FromStr for Task {
-    type Err = NotATask;
+    type Err = ParseTaskError;
 
-    fn from_str(text: &str) -> Result<Task, NotATask> {
-        let fault = || NotATask(text.to_owned());
+    fn from_str(text: &str) -> Result<Task, ParseTaskError> {
+        let fault = || ParseTaskError(text.to_owned());
         let mut parts = text.split('.');
         let mut next = || parts.next().ok_or_else(fault);
-        let job = parse_job(next()?).ok_or_else(fault)?;
+        let job = parse_job_id(next()?).ok_or_else(fault)?;
         let round = next()?.parse().map_err(|_| fault())?;
         let step = next()?.parse().map_err(|_| fault())?;
         let index = next()?.parse().map_err(|_| fault())?;
--- a/components/work/src/life.rs
+++ b/components/work/src/incarnation.rs
@@ -9,25 +9,25 @@
 
 /// One life of a worker. Its text is the worker's id everywhere: `NAME`, or `NAME@BORN` where the platform tells when it was born.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Life<'a> {
+pub struct WorkerIncarnation<'a> {
     /// The worker's name on the platform.
     pub name: &'a str,
     /// When it started, in milliseconds since 1970 by its own clock. Where that isn't known, the name alone is taken for a life.
     pub born: Option<u64>,
 }
 
-impl<'a> Life<'a> {
+impl<'a> WorkerIncarnation<'a> {
     /// The life that an id names.
-    pub fn of(id: &'a str) -> Life<'a> {
+    pub fn from_id(id: &'a str) -> WorkerIncarnation<'a> {
         let parts = id.split_once(SEPARATOR);
         match parts.and_then(|(name, born)| Some((name, born.parse().ok()?))) {
-            Some((name, born)) => Life { name, born: Some(born) },
-            None => Life { name: id, born: None },
+            Some((name, born)) => WorkerIncarnation { name, born: Some(born) },
+            None => WorkerIncarnation { name: id, born: None },
         }
     }
 
     /// Whether a name can be told from a birth in an id.
-    pub fn is_name(text: &str) -> bool {
+    pub fn is_valid_name(text: &str) -> bool {
         !text.is_empty() && !text.contains(SEPARATOR)
     }
 
@@ -37,7 +37,7 @@
     }
 }
 
-impl fmt::Display for Life<'_> {
+impl fmt::Display for WorkerIncarnation<'_> {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.born {
             Some(born) => write!(out, "{}{SEPARATOR}{born}", self.name),
--- a/components/work/src/job.rs
+++ b/components/work/src/job.rs
@@ -57,19 +57,19 @@
     /// Rack of its data; empty for none.
     pub rack: String,
     /// Most of its tasks on one worker; 0 for any number.
-    pub spread: u32,
+    pub max_per_worker: u32,
     /// Whether copies of a task may run at the same time.
     pub speculative: bool,
     /// Whether its tasks run until the job is cancelled.
-    pub lasting: bool,
+    pub long_running: bool,
     /// What its tasks run; tasks of one image behave alike.
     pub image: String,
     /// Bound for the tail of a lasting task's answers; zero for none.
-    pub tail: Duration,
+    pub max_tail_latency: Duration,
     /// Whether its processor need isn't counted against a worker's room.
-    pub fills: bool,
+    pub best_effort_cpu: bool,
     /// Tasks of a lasting step that may be away at once by our own doing.
-    pub misses: u32,
+    pub max_unavailable: u32,
 }
 
 /// Most tasks of one round of a job: what the whole cell is designed to run.
@@ -81,7 +81,7 @@
 
 /// Why a job can't be taken.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Fault {
+pub enum JobError {
     /// The specification is too long.
     #[error("the specification has {0} bytes, at most {MAX_SPECIFICATION} are taken")]
     Specification(usize),
@@ -122,21 +122,21 @@
 
 impl Job {
     /// Checks the job whole.
-    pub fn check(&self) -> Result<(), Fault> {
+    pub fn check(&self) -> Result<(), JobError> {
         if self.specification.len() > MAX_SPECIFICATION {
-            return Err(Fault::Specification(self.specification.len()));
+            return Err(JobError::Specification(self.specification.len()));
         }
         if self.steps.is_empty() || self.steps.len() > MAX_STEPS {
-            return Err(Fault::Steps(self.steps.len()));
+            return Err(JobError::Steps(self.steps.len()));
         }
         self.steps.iter().enumerate().try_for_each(|(number, step)| step.check(number))?;
         let total = self.steps.iter().map(|step| step.count).sum();
         if total > MAX_TASKS_A_ROUND {
-            return Err(Fault::Total(total));
+            return Err(JobError::Total(total));
         }
         match self.rounds() {
             1..=MAX_ROUNDS => Ok(()),
-            rounds => Err(Fault::Rounds(rounds)),
+            rounds => Err(JobError::Rounds(rounds)),
         }
     }
 
@@ -153,15 +153,15 @@
 }
 
 impl Step {
-    fn check(&self, number: usize) -> Result<(), Fault> {
+    fn check(&self, number: usize) -> Result<(), JobError> {
         if self.count == 0 || self.count > MAX_TASKS {
-            return Err(Fault::Tasks { step: number, count: self.count });
+            return Err(JobError::Tasks { step: number, count: self.count });
         }
-        if let Some(time) = [self.estimate, self.tail].into_iter().find(|time| *time > MAX_TIME) {
-            return Err(Fault::Time { step: number, time });
+        if let Some(time) = [self.estimate, self.max_tail_latency].into_iter().find(|time| *time > MAX_TIME) {
+            return Err(JobError::Time { step: number, time });
         }
         match self.after.iter().find(|on| usize::from(**on) >= number) {
-            Some(on) => Err(Fault::Order { step: number, on: *on }),
+            Some(on) => Err(JobError::Order { step: number, on: *on }),
             None => Ok(()),
         }
     }
--- a/components/work/src/key.rs
+++ b/components/work/src/key.rs
@@ -23,7 +23,7 @@
 
 /// What a call brings to show whose it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Presented {
+pub enum Credential {
     /// Nothing.
     Nothing,
     /// Something that can't be read as one key.
--- a/components/work/src/lib.rs
+++ b/components/work/src/lib.rs
@@ -4,15 +4,17 @@
 #![allow(clippy::missing_errors_doc, clippy::missing_panics_doc)]
 
 mod id;
+mod incarnation;
 mod job;
 pub mod key;
-mod life;
 pub mod log;
 mod queue;
 mod record;
 
-pub use id::{Attempt, JobId, NotATask, QueueName, Task, Term, Unit, WorkerId, WorkspaceName, job_name, parse_job};
-pub use job::{Fault, Job, Schedule, Step};
-pub use life::Life;
+pub use id::{
+    Attempt, JobId, ParseTaskError, QueueName, Task, Term, Unit, WorkerId, WorkspaceName, format_job_id, parse_job_id,
+};
+pub use incarnation::WorkerIncarnation;
+pub use job::{Job, JobError, Schedule, Step};
 pub use queue::{Advice, Config, Queue, Workspace};
 pub use record::{Evidence, Outcome, Record, State};
--- a/components/work/src/log.rs
+++ b/components/work/src/log.rs
@@ -15,12 +15,12 @@
 pub struct PartId {
     /// Term of the leader that wrote it.
     pub term: Term,
-    /// Counts from [`FIRST`] in each term.
+    /// Counts from [`FIRST_PART`] in each term.
     pub number: u64,
 }
 
 /// Number of the first part of a term. No part of an earlier term may be removed before it is known to be written.
-pub const FIRST: u64 = 1;
+pub const FIRST_PART: u64 = 1;
 
 /// A part of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -33,21 +33,21 @@
 
 /// What a new leader makes of the parts in the store.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Read {
+pub struct ClassifiedParts {
     /// Parts that count, in order.
-    pub parts: Vec<(PartId, Part)>,
+    pub valid: Vec<(PartId, Part)>,
     /// Parts behind a gap. The transaction that writes the new leader's first part must remove them: from then on all parts of
     /// earlier terms count. Not sooner, since some tell what else counts; those stand last.
     pub stale: Vec<PartId>,
 }
 
 /// Tells the parts that count from those that stand behind a gap.
-pub fn read(parts: impl IntoIterator<Item = (PartId, Part)>) -> Read {
+pub fn classify_parts(parts: impl IntoIterator<Item = (PartId, Part)>) -> ClassifiedParts {
     let mut terms: BTreeMap<Term, Vec<(PartId, Part)>> = BTreeMap::new();
     for (id, part) in parts {
         terms.entry(id.term).or_default().push((id, part));
     }
-    let mut read = Read::default();
+    let mut read = ClassifiedParts::default();
     // With its first part a leader removes what is stale, so below a term whose first part is written all parts count.
     let mut newest = true;
     let mut stales = Vec::new();
@@ -58,11 +58,11 @@
             let counting = counting(&parts, settled);
             let stale = parts.drain(counting..).map(|(id, part)| (part.settled == settled, id));
             stales.extend(stale);
-            newest = counting == 0 && settled <= FIRST;
+            newest = counting == 0 && settled <= FIRST_PART;
         }
-        read.parts.extend(parts.into_iter().rev());
+        read.valid.extend(parts.into_iter().rev());
     }
-    read.parts.reverse();
+    read.valid.reverse();
     stales.sort();
     read.stale = stales.into_iter().map(|(_, id)| id).collect();
     read
--- a/components/work/src/queue.rs
+++ b/components/work/src/queue.rs
@@ -6,7 +6,7 @@
 use model::Resources;
 use serde::{Deserialize, Serialize};
 
-use crate::key::{Denial, Digest, Presented};
+use crate::key::{Credential, Denial, Digest};
 use crate::{QueueName, WorkspaceName};
 
 /// A queue for jobs, as the operator configures it.
@@ -80,13 +80,13 @@
     /// All workspaces.
     pub workspaces: Vec<Workspace>,
     /// Where queues stand, by host in lower case and by prefix: looking through all of them would cost each request.
-    prefixes: HashMap<String, HashMap<String, usize>>,
+    queues_by_prefix: HashMap<String, HashMap<String, usize>>,
     /// Lengths of the prefixes of each host, the longest first.
-    lengths: HashMap<String, Vec<usize>>,
+    prefix_lengths: HashMap<String, Vec<usize>>,
     /// Where queues stand, by name.
-    names: HashMap<QueueName, usize>,
+    queues_by_name: HashMap<QueueName, usize>,
     /// Where the workspaces of keys stand.
-    holders: HashMap<Digest, usize>,
+    workspaces_by_key: HashMap<Digest, usize>,
 }
 
 impl From<Content> for Config {
@@ -106,13 +106,13 @@
     /// A configuration without workspaces.
     pub fn new(version: u64, queues: Vec<Queue>, max_body: usize) -> Config {
         let mut config = Config { version, max_body, ..Config::default() };
-        for (place, queue) in queues.iter().enumerate() {
+        for (index, queue) in queues.iter().enumerate() {
             let host = queue.host.to_ascii_lowercase();
-            config.lengths.entry(host.clone()).or_default().push(queue.prefix.len());
-            config.prefixes.entry(host).or_default().entry(queue.prefix.clone()).or_insert(place);
-            config.names.entry(queue.name.clone()).or_insert(place);
+            config.prefix_lengths.entry(host.clone()).or_default().push(queue.prefix.len());
+            config.queues_by_prefix.entry(host).or_default().entry(queue.prefix.clone()).or_insert(index);
+            config.queues_by_name.entry(queue.name.clone()).or_insert(index);
         }
-        for lengths in config.lengths.values_mut() {
+        for lengths in config.prefix_lengths.values_mut() {
             lengths.sort_unstable_by(|a, b| b.cmp(a));
             lengths.dedup();
         }
@@ -121,37 +121,38 @@
 
     /// The same with these workspaces. A key that several of them have opens nothing.
     pub fn with_workspaces(self, workspaces: Vec<Workspace>) -> Config {
-        let mut holders = HashMap::new();
-        let mut doubled = HashSet::new();
-        for (place, workspace) in workspaces.iter().enumerate() {
+        let mut workspaces_by_key = HashMap::new();
+        let mut duplicates = HashSet::new();
+        for (index, workspace) in workspaces.iter().enumerate() {
             for key in &workspace.keys {
-                if holders.insert(*key, place).is_some_and(|other| other != place) {
-                    doubled.insert(*key);
+                if workspaces_by_key.insert(*key, index).is_some_and(|other| other != index) {
+                    duplicates.insert(*key);
                 }
             }
         }
-        holders.retain(|key, _| !doubled.contains(key));
-        Config { workspaces, holders, ..self }
+        workspaces_by_key.retain(|key, _| !duplicates.contains(key));
+        Config { workspaces, workspaces_by_key, ..self }
     }
 
     /// Workspaces of which a key opens nothing, since another one has it, too.
-    pub fn doubled_keys(&self) -> impl Iterator<Item = &WorkspaceName> {
-        let doubled = |workspace: &&Workspace| workspace.keys.iter().any(|key| !self.holders.contains_key(key));
-        self.workspaces.iter().filter(doubled).map(|workspace| &workspace.name)
+    pub fn workspaces_with_duplicate_keys(&self) -> impl Iterator<Item = &WorkspaceName> {
+        let duplicates =
+            |workspace: &&Workspace| workspace.keys.iter().any(|key| !self.workspaces_by_key.contains_key(key));
+        self.workspaces.iter().filter(duplicates).map(|workspace| &workspace.name)
     }
 
     /// The queue for a request: its host, and the longest prefix that its path begins with.
     pub fn route(&self, host: &str, path: &str) -> Option<&Queue> {
         let host = host.to_ascii_lowercase();
-        let prefixes = self.prefixes.get(&host)?;
-        let lengths = self.lengths.get(&host)?;
+        let prefixes = self.queues_by_prefix.get(&host)?;
+        let lengths = self.prefix_lengths.get(&host)?;
         let found = lengths.iter().find_map(|length| prefixes.get(path.get(..*length)?))?;
         self.queues.get(*found)
     }
 
     /// The queue of a name.
     pub fn queue(&self, name: &str) -> Option<&Queue> {
-        self.queues.get(*self.names.get(name)?)
+        self.queues.get(*self.queues_by_name.get(name)?)
     }
 
     /// The workspace of a name.
@@ -161,11 +162,11 @@
 
     /// The workspace for which a call of a queue is made. A public queue needs no key, but one that is brought tells whose the call
     /// is: jobs of a queue that has become public stay with their workspaces.
-    pub fn admit(&self, queue: &Queue, key: Presented) -> Result<Option<&Workspace>, Denial> {
+    pub fn admit(&self, queue: &Queue, key: Credential) -> Result<Option<&Workspace>, Denial> {
         let found = match key {
-            Presented::Nothing => Err(Denial::Missing),
-            Presented::Malformed => Err(Denial::Malformed),
-            Presented::Key(digest) => self.holder(digest).ok_or(Denial::Unknown),
+            Credential::Nothing => Err(Denial::Missing),
+            Credential::Malformed => Err(Denial::Malformed),
+            Credential::Key(digest) => self.workspace_by_key(digest).ok_or(Denial::Unknown),
         };
         match found {
             Ok(workspace) => Ok(Some(workspace)),
@@ -175,7 +176,7 @@
     }
 
     /// The workspace that has a key.
-    fn holder(&self, key: Digest) -> Option<&Workspace> {
-        self.workspaces.get(*self.holders.get(&key)?)
+    fn workspace_by_key(&self, key: Digest) -> Option<&Workspace> {
+        self.workspaces.get(*self.workspaces_by_key.get(&key)?)
     }
 }
--- a/components/work/src/record.rs
+++ b/components/work/src/record.rs
@@ -77,19 +77,19 @@
     }
 
     /// The job of which it records a start.
-    pub fn placed(&self) -> Option<JobId> {
+    pub fn placed_job(&self) -> Option<JobId> {
         match self {
             Record::Placed { task, .. } => Some(task.unit.job),
-            Record::Rewritten(record) => record.placed(),
+            Record::Rewritten(record) => record.placed_job(),
             _ => None,
         }
     }
 
     /// Roughly its size in the log, in bytes.
-    pub fn weight(&self) -> usize {
+    pub fn approximate_size(&self) -> usize {
         match self {
             Record::Accepted { job, .. } => job.specification.len() + (1 + job.steps.len()) * SMALL,
-            Record::Rewritten(record) => record.weight(),
+            Record::Rewritten(record) => record.approximate_size(),
             _ => SMALL,
         }
     }
--- a/components/work/tests/config.rs
+++ b/components/work/tests/config.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use model::Resources;
-use work::key::{Denial, Digest, Presented};
+use work::key::{Credential, Denial, Digest};
 use work::{Config, Queue, Workspace};
 
 fn queue(name: &str, host: &str, prefix: &str, public: bool) -> Queue {
@@ -58,14 +58,14 @@
         let queue = config.queue(queue).expect("it is there");
         config.admit(queue, key).map(|workspace| workspace.map(|workspace| workspace.name.as_str()))
     };
-    let key = |text| Presented::Key(Digest::of(text));
+    let key = |text| Credential::Key(Digest::of(text));
     assert_eq!(admit("plans", key("b")), Ok(Some("rail")));
     assert_eq!(admit("plans", key("c")), Ok(Some("port")));
     assert_eq!(admit("plans", key("a")), Err(Denial::Unknown), "two workspaces have it");
-    assert_eq!(config.doubled_keys().collect::<Vec<_>>(), ["rail", "port"]);
-    assert_eq!(admit("plans", Presented::Nothing), Err(Denial::Missing));
-    assert_eq!(admit("plans", Presented::Malformed), Err(Denial::Malformed));
-    for brought in [Presented::Nothing, Presented::Malformed, key("a")] {
+    assert_eq!(config.workspaces_with_duplicate_keys().collect::<Vec<_>>(), ["rail", "port"]);
+    assert_eq!(admit("plans", Credential::Nothing), Err(Denial::Missing));
+    assert_eq!(admit("plans", Credential::Malformed), Err(Denial::Malformed));
+    for brought in [Credential::Nothing, Credential::Malformed, key("a")] {
         assert_eq!(admit("open", brought), Ok(None), "a public queue needs no key");
     }
     assert_eq!(admit("open", key("c")), Ok(Some("port")), "one that is brought tells whose the call is");
--- a/components/work/tests/log.rs
+++ b/components/work/tests/log.rs
@@ -4,7 +4,7 @@
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use work::log::{FIRST, Part, PartId, read};
+use work::log::{FIRST_PART, Part, PartId, classify_parts};
 use work::{Record, Term};
 
 const SEEDS: u64 = 3000;
@@ -21,8 +21,8 @@
 }
 
 fn read_ids(parts: &[(PartId, Part)]) -> (Vec<PartId>, Vec<PartId>) {
-    let read = read(parts.to_vec());
-    (read.parts.into_iter().map(|(id, _)| id).collect(), read.stale)
+    let read = classify_parts(parts.to_vec());
+    (read.valid.into_iter().map(|(id, _)| id).collect(), read.stale)
 }
 
 #[test]
@@ -92,8 +92,14 @@
 
 impl World {
     fn new(seed: u64) -> World {
-        let leader =
-            Leader { term: 1, next: FIRST, settled: FIRST, under_way: Vec::new(), log: Vec::new(), stale: Vec::new() };
+        let leader = Leader {
+            term: 1,
+            next: FIRST_PART,
+            settled: FIRST_PART,
+            under_way: Vec::new(),
+            log: Vec::new(),
+            stale: Vec::new(),
+        };
         let rng = StdRng::seed_from_u64(seed);
         World { rng, term: 1, store: BTreeMap::new(), late: Vec::new(), stale: BTreeSet::new(), leader }
     }
@@ -127,9 +133,9 @@
         let name = id(self.leader.term, self.leader.next);
         self.leader.next += 1;
         let most = self.leader.log.len().saturating_sub(2).min(3);
-        let removes = if name.number == FIRST {
+        let removes = if name.number == FIRST_PART {
             std::mem::take(&mut self.leader.stale)
-        } else if self.leader.settled > FIRST && self.rng.random_bool(0.3) {
+        } else if self.leader.settled > FIRST_PART && self.rng.random_bool(0.3) {
             self.leader.log.drain(..most).collect()
         } else {
             Vec::new()
@@ -179,14 +185,14 @@
     /// Another leader claims and reads the log; it may end before it writes anything.
     fn take_over(&mut self) {
         self.term += 1;
-        let found = read(self.store.clone());
-        let names: Vec<PartId> = found.parts.iter().map(|(name, _)| *name).collect();
+        let found = classify_parts(self.store.clone());
+        let names: Vec<PartId> = found.valid.iter().map(|(name, _)| *name).collect();
         let lost: Vec<&PartId> = self.leader.log.iter().filter(|name| !names.contains(name)).collect();
         assert!(lost.is_empty(), "parts known as written are gone: {lost:?} of {names:?}");
         let revived: Vec<&PartId> = names.iter().filter(|name| self.stale.contains(name)).collect();
         assert!(revived.is_empty(), "parts taken for stale count again: {revived:?}");
         self.stale.extend(found.stale.iter().copied());
-        let (next, settled) = (FIRST, FIRST);
+        let (next, settled) = (FIRST_PART, FIRST_PART);
         self.leader = Leader { term: self.term, next, settled, under_way: Vec::new(), log: names, stale: found.stale };
         if self.rng.random_bool(0.3) {
             self.take_over();
