--- a/components/node/src/recovery.rs
+++ b/components/node/src/recovery.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use claim::Claim;
-use facts::Shown;
+use facts::VisibleFrom;
 use futures_util::future::join_all;
 use model::task::Id;
 use model::workload::Record;
@@ -71,7 +71,7 @@
 /// Until all workers that an earlier owner may have used are accounted for: tells every holder the claim and
 /// reads its inventory.
 pub(crate) async fn recover(shared: &Arc<Shared>, number: Partition) {
-    let recovering = shared.partitions.with(number, |owned| (!owned.book.accounted(), owned.book.epoch()));
+    let recovering = shared.partitions.with(number, |owned| (!owned.book.is_recovered(), owned.book.epoch()));
     let Some((true, epoch)) = recovering else { return };
     let neighbours = shared.membership.neighbours();
     let request = Request::Announce { partition: number, epoch };
@@ -92,13 +92,13 @@
     let now = Instant::now();
     let workers = shared.listing.workers(shared.data_centre()).len();
     let ready = shared.partitions.with(number, |owned| {
-        owned.book.workers(workers);
+        owned.book.set_worker_count(workers);
         for inventory in &inventories {
             take_inventory(owned, inventory, now);
         }
         match &missing {
-            Some(name) => owned.book.recovering(name),
-            None => owned.book.all_accounted(now),
+            Some(name) => owned.book.set_recovery_reason(name),
+            None => owned.book.finish_recovery(now),
         }
         missing.is_none()
     });
@@ -112,7 +112,7 @@
     let epochs: HashMap<&WorkerId, u64> = inventory.workers.iter().map(|(worker, epoch)| (worker, *epoch)).collect();
     for found in &inventory.tasks {
         let Some(epoch) = epochs.get(&found.fact.worker) else { continue };
-        let shown = Shown { epoch: *epoch, version: inventory.version };
+        let shown = VisibleFrom { epoch: *epoch, version: inventory.version };
         let key = (found.task.clone(), found.attempt);
         // Two hosts may both tell of a worker that is moving between them: the later hold counts.
         if owned.shown.get(&key).is_some_and(|known| known.epoch > shown.epoch) {
@@ -147,7 +147,7 @@
 /// stopped only when the platform says that there is none.
 pub(crate) async fn confirm_strays(shared: &Arc<Shared>, number: Partition) {
     let doubtful = shared.partitions.with(number, |owned| {
-        let lives: BTreeSet<(WorkloadId, u32)> = owned.book.strays().map(|order| life_of(&order.task)).collect();
+        let lives: BTreeSet<(WorkloadId, u32)> = owned.book.orphans().map(|order| life_of(&order.task)).collect();
         owned.unrecorded.retain(|life| lives.contains(life));
         lives.difference(&owned.unrecorded).cloned().collect::<Vec<_>>()
     });
--- a/components/sched/src/restore.rs
+++ b/components/sched/src/restore.rs
@@ -116,7 +116,7 @@
         let Some(queue) = self.queues.get(&entry.queue) else { return false };
         let most = queue.max_attempts as usize;
         let exhausted = |((_, step), unit): (&(u32, u16), &UnitState)| {
-            let lasting = entry.step(*step).is_some_and(|step| step.lasting);
+            let lasting = entry.step(*step).is_some_and(|step| step.long_running);
             let task_exhausted = |task: &TaskState| task.phase != Phase::Done && task.failed.len() >= most;
             let gang_exhausted = !unit.is_complete() && unit.failed.len() >= most;
             !lasting && (gang_exhausted || unit.tasks.iter().any(task_exhausted))
