--- a/components/gateway/src/handover.rs
+++ b/components/gateway/src/handover.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
-use member::winner;
+use member::highest_ranked;
 use model::HostId;
 use request::Key;
 use wire::{Remembered, RememberedAnswer};
@@ -22,7 +22,7 @@
             homes.iter().map(|host| (host.clone(), Vec::new())).collect();
         for shard in self.keys.shards() {
             for (key, answer) in shard.lock().memory.ended() {
-                let Some(home) = winner(&key, homes.iter().map(String::as_str)) else { continue };
+                let Some(home) = highest_ranked(&key, homes.iter().map(String::as_str)) else { continue };
                 let answer = answer.map(|stored| pack(stored));
                 sorted.entry(home.to_owned()).or_default().push(Remembered { key, answer });
             }
--- a/components/gateway/src/keyed.rs
+++ b/components/gateway/src/keyed.rs
@@ -10,7 +10,7 @@
 use http::{HeaderMap, Response, StatusCode};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
-use member::winner;
+use member::highest_ranked;
 use model::DataCentreId;
 use parking_lot::Mutex;
 use request::{Ask, Begin, ClassIndex, Key, Memory, Standing};
@@ -130,7 +130,7 @@
         Some(name) => return Err(format!("the Idempotency-Key names no data centre of this cell: {name}")),
         None => {
             let configured = gateway.data_centres.iter().map(String::as_str);
-            winner(&key.text(), configured).unwrap_or(&gateway.data_centre).to_owned()
+            highest_ranked(&key.text(), configured).unwrap_or(&gateway.data_centre).to_owned()
         }
     };
     Ok(Addressed { key, data_centre })
--- a/components/jobs/tests/two_places.rs
+++ b/components/jobs/tests/two_places.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use jobs::JobTracker;
-use ledger::{Commit, Ledger, Limits};
+use ledger::{CommitResult, LeaseLimits, Ledger};
 use model::task::{Attempt, End, Id};
 use model::workload::{Kind, Progress};
 use model::{Reason, Resources};
@@ -17,7 +17,7 @@
 
 const WORKERS: usize = 3;
 const TASKS: u32 = 4;
-const LIMITS: Limits = Limits { lease: Duration::from_secs(15), margin: Duration::from_secs(1) };
+const LIMITS: LeaseLimits = LeaseLimits { lease: Duration::from_secs(15), margin: Duration::from_secs(1) };
 
 /// A worker with its holder's ledger.
 struct Held {
@@ -71,7 +71,7 @@
         let commands = self.ledger.commands(now);
         self.carry_out(&commands);
         if answered {
-            self.ledger.batch_answered(&commands, report(&self.tasks, self.incarnation), now);
+            self.ledger.apply_batch_reply(&commands, report(&self.tasks, self.incarnation), now);
         }
     }
 
@@ -115,11 +115,11 @@
             return;
         }
         match commit {
-            Commit::Accepted => {
+            CommitResult::Accepted => {
                 self.started += 1;
                 self.tracker.start_committed(&order.task, order.attempt, self.now);
             }
-            Commit::Full(_) | Commit::Closed => {
+            CommitResult::Full(_) | CommitResult::Closed => {
                 self.tracker.start_refused(&order.task, order.attempt, Reason::NoWorkers, self.now);
             }
         }
--- a/components/ledger/examples/decisions.rs
+++ b/components/ledger/examples/decisions.rs
@@ -7,7 +7,7 @@
 
 use std::time::{Duration, Instant};
 
-use ledger::{Commit, Ledger, Limits};
+use ledger::{CommitResult, LeaseLimits, Ledger};
 use model::Resources;
 use model::task::{Attempt, Id};
 use model::workload::Kind;
@@ -18,7 +18,7 @@
 use worker::Report;
 
 const CAPACITY: Resources = Resources { cpu_milli: 16_000, memory_mib: 65_536, accelerators: 0 };
-const LIMITS: Limits = Limits { lease: Duration::from_secs(15), margin: Duration::from_secs(2) };
+const LIMITS: LeaseLimits = LeaseLimits { lease: Duration::from_secs(15), margin: Duration::from_secs(2) };
 const SEED: u64 = 7;
 
 fn cell(workers: usize, racks: usize) -> Cell {
@@ -75,7 +75,7 @@
             number += 1;
             let order = order(&cell, at, number, each);
             cell.take(at, &each);
-            assert_eq!(ledgers[at].commit(&order, now), Commit::Accepted);
+            assert_eq!(ledgers[at].commit(&order, now), CommitResult::Accepted);
             live.push_back((at, order));
         }
         if step >= running {
--- a/components/ledger/src/trust.rs
+++ b/components/ledger/src/health.rs
@@ -1,4 +1,4 @@
-//! Whether a worker is to blame for failures: it is, when tasks of *different* workloads fail on it and none
+//! Whether a worker is to blame for failures: it is, when tasks of *distinct* workloads fail on it and none
 //! succeeds. Then it is on probation and gets one trial task at a time, less and less often.
 
 use std::collections::{BTreeSet, VecDeque};
@@ -9,46 +9,46 @@
 /// Ends that are remembered.
 const WINDOW: usize = 8;
 /// Different workloads that must have failed in the window.
-const DIFFERENT: usize = 3;
-const FIRST_PAUSE: Duration = Duration::from_secs(10);
-const LONGEST_PAUSE: Duration = Duration::from_secs(600);
+const MIN_DISTINCT_WORKLOADS: usize = 3;
+const INITIAL_TRIAL_DELAY: Duration = Duration::from_secs(10);
+const MAX_TRIAL_DELAY: Duration = Duration::from_secs(600);
 
 #[derive(Clone, Copy, Debug)]
 struct Probation {
     next_trial: Instant,
-    pause: Duration,
+    delay: Duration,
 }
 
 /// The judgement on one worker.
 #[derive(Clone, Debug, Default)]
-pub struct Trust {
+pub struct WorkerHealth {
     failures: VecDeque<WorkloadId>,
     probation: Option<Probation>,
 }
 
-impl Trust {
+impl WorkerHealth {
     /// Notes a task that ran to its end. Tells whether this ended a probation.
-    pub fn succeeded(&mut self) -> bool {
+    pub fn record_success(&mut self) -> bool {
         self.failures.clear();
         self.probation.take().is_some()
     }
 
     /// Notes a failure. Tells whether a probation begins.
-    pub fn failed(&mut self, workload: &str, now: Instant) -> bool {
+    pub fn record_failure(&mut self, workload: &str, now: Instant) -> bool {
         if let Some(probation) = &mut self.probation {
-            probation.pause = (probation.pause * 2).min(LONGEST_PAUSE);
-            probation.next_trial = now + probation.pause;
+            probation.delay = (probation.delay * 2).min(MAX_TRIAL_DELAY);
+            probation.next_trial = now + probation.delay;
             return false;
         }
         self.failures.push_back(workload.to_owned());
         if self.failures.len() > WINDOW {
             self.failures.pop_front();
         }
-        let different: BTreeSet<&WorkloadId> = self.failures.iter().collect();
-        if different.len() < DIFFERENT {
+        let distinct: BTreeSet<&WorkloadId> = self.failures.iter().collect();
+        if distinct.len() < MIN_DISTINCT_WORKLOADS {
             return false;
         }
-        self.probation = Some(Probation { next_trial: now + FIRST_PAUSE, pause: FIRST_PAUSE });
+        self.probation = Some(Probation { next_trial: now + INITIAL_TRIAL_DELAY, delay: INITIAL_TRIAL_DELAY });
         true
     }
 
@@ -57,11 +57,11 @@
         self.probation.is_some()
     }
 
-    /// Whether it may get a task now; `busy` when it has one that was started during the probation.
-    pub fn open(&self, busy: bool, now: Instant) -> bool {
+    /// Whether it may get a task now; `trial_running` when it has one that was started during the probation.
+    pub fn accepts_task(&self, trial_running: bool, now: Instant) -> bool {
         match &self.probation {
             None => true,
-            Some(probation) => !busy && now >= probation.next_trial,
+            Some(probation) => !trial_running && now >= probation.next_trial,
         }
     }
 }
--- a/components/ledger/src/book.rs
+++ b/components/ledger/src/ledger.rs
@@ -8,12 +8,12 @@
 use wire::{Fact, FactKey, ReserveOrder, StartOrder, TaskFact, TaskState, WorkerFact};
 use worker::{Command, Report, Run};
 
-use crate::reserve::Reservations;
-use crate::trust::Trust;
+use crate::health::WorkerHealth;
+use crate::reservations::Reservations;
 
 /// Times that the ledger reckons with.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
+pub struct LeaseLimits {
     /// Lease of a task, counted by the worker from the stamp of the last report that the holder received.
     pub lease: Duration,
     /// Added to the lease for clocks that run at slightly different speeds.
@@ -22,7 +22,7 @@
 
 /// What becomes of a start order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Commit {
+pub enum CommitResult {
     /// Committed, now or earlier.
     Accepted,
     /// Does not fit; this much is free for the workload.
@@ -33,7 +33,7 @@
 
 /// An attempt that ended, for the log and the metrics.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ended {
+pub struct EndedAttempt {
     /// What.
     pub task: Id,
     /// Which attempt.
@@ -43,14 +43,14 @@
 }
 
 #[derive(Clone, Debug)]
-struct Entry {
+struct AttemptEntry {
     resources: Resources,
     patient: bool,
     state: TaskState,
     /// Sent until the worker's report shows it.
     start: Option<Command>,
     /// Whether the start may have reached the worker.
-    offered: bool,
+    maybe_sent: bool,
     /// Since when a stop has been asked for.
     stop: Option<Instant>,
     /// Whether the worker was told to stop it.
@@ -66,12 +66,12 @@
 }
 
 /// A service instance is stopped so long after it was taken out of every entry host's choice.
-pub const DRAIN: Duration = Duration::from_secs(2);
+pub const DRAIN_DELAY: Duration = Duration::from_secs(2);
 
-impl Entry {
+impl AttemptEntry {
     /// Whether the worker is to be told to stop it now.
-    fn stops(&self, now: Instant) -> bool {
-        let drain = if self.service { DRAIN } else { Duration::ZERO };
+    fn stop_is_due(&self, now: Instant) -> bool {
+        let drain = if self.service { DRAIN_DELAY } else { Duration::ZERO };
         !self.ended() && self.stop.is_some_and(|since| now >= since + drain)
     }
 
@@ -80,30 +80,30 @@
     }
 }
 
-type Key = (Id, Attempt);
+type AttemptKey = (Id, Attempt);
 
 /// The commitments of one held worker.
 #[derive(Debug)]
 pub struct Ledger {
     worker: WorkerId,
     epoch: Epoch,
-    limits: Limits,
+    limits: LeaseLimits,
     incarnation: Incarnation,
     capacity: Resources,
     leaving: bool,
     listed_leaving: bool,
-    entries: BTreeMap<Key, Entry>,
+    entries: BTreeMap<AttemptKey, AttemptEntry>,
     reservations: Reservations,
-    trust: Trust,
+    health: WorkerHealth,
     stamp_ms: u64,
     reported_at: Instant,
     reachable: bool,
-    lapsed: bool,
+    leases_expired: bool,
 }
 
 impl Ledger {
     /// Opens the ledger of a worker that was just taken over with `epoch`, from its report received `now`.
-    pub fn open(worker: WorkerId, epoch: Epoch, report: Report, limits: Limits, now: Instant) -> Ledger {
+    pub fn open(worker: WorkerId, epoch: Epoch, report: Report, limits: LeaseLimits, now: Instant) -> Ledger {
         let mut ledger = Ledger {
             worker,
             epoch,
@@ -114,13 +114,13 @@
             listed_leaving: false,
             entries: BTreeMap::new(),
             reservations: Reservations::default(),
-            trust: Trust::default(),
+            health: WorkerHealth::default(),
             stamp_ms: report.stamp_ms,
             reported_at: now,
             reachable: true,
-            lapsed: false,
+            leases_expired: false,
         };
-        ledger.report(report, now);
+        ledger.apply_report(report, now);
         ledger
     }
 
@@ -149,35 +149,35 @@
         live.fold(Resources::ZERO, |sum, entry| sum.checked_add(&entry.resources).unwrap_or(self.capacity))
     }
 
-    fn free_for(&self, workload: Option<&WorkloadId>, now: Instant) -> Resources {
-        self.free().saturating_sub(&self.reservations.kept_from(workload.map(String::as_str), now))
+    fn free_for_workload(&self, workload: Option<&WorkloadId>, now: Instant) -> Resources {
+        self.free().saturating_sub(&self.reservations.reserved_for_others(workload.map(String::as_str), now))
     }
 
-    fn open_for_work(&self, now: Instant) -> bool {
-        let on_trial = self.entries.values().any(|entry| entry.trial && !entry.ended());
-        self.reachable && !self.leaving && !self.listed_leaving && self.trust.open(on_trial, now)
+    fn accepts_work(&self, now: Instant) -> bool {
+        let trial_running = self.entries.values().any(|entry| entry.trial && !entry.ended());
+        self.reachable && !self.leaving && !self.listed_leaving && self.health.accepts_task(trial_running, now)
     }
 
     /// Commits room for an attempt, or says that there is none. Repeating an order changes nothing.
-    pub fn commit(&mut self, order: &StartOrder, now: Instant) -> Commit {
+    pub fn commit(&mut self, order: &StartOrder, now: Instant) -> CommitResult {
         let key = (order.task.clone(), order.attempt);
         if self.entries.contains_key(&key) {
-            return Commit::Accepted;
+            return CommitResult::Accepted;
         }
         let earlier_attempt_lives = self.entries.iter().any(|((task, _), entry)| *task == order.task && !entry.ended());
-        if earlier_attempt_lives || !self.open_for_work(now) {
-            return Commit::Closed;
+        if earlier_attempt_lives || !self.accepts_work(now) {
+            return CommitResult::Closed;
         }
-        let free = self.free_for(Some(&order.task.workload), now);
+        let free = self.free_for_workload(Some(&order.task.workload), now);
         if !order.resources.fits_in(&free) {
-            return Commit::Full(free);
+            return CommitResult::Full(free);
         }
         self.reservations.consume(&order.task.workload, &order.resources);
-        self.entries.insert(key, self.entry(order));
-        Commit::Accepted
+        self.entries.insert(key, self.new_entry(order));
+        CommitResult::Accepted
     }
 
-    fn entry(&self, order: &StartOrder) -> Entry {
+    fn new_entry(&self, order: &StartOrder) -> AttemptEntry {
         let start = Command::Start {
             task: order.task.clone(),
             attempt: order.attempt,
@@ -186,18 +186,18 @@
             service: order.service,
             patient: order.patient,
         };
-        Entry {
+        AttemptEntry {
             resources: order.resources,
             patient: order.patient,
             state: TaskState::Starting,
             start: Some(start),
-            offered: false,
+            maybe_sent: false,
             stop: None,
             stop_sent: false,
             unsaved: 0,
             service: order.service,
             acknowledged: false,
-            trial: self.trust.on_probation(),
+            trial: self.health.on_probation(),
         }
     }
 
@@ -211,8 +211,8 @@
                 self.stop(task, *attempt, now);
             }
         }
-        let free = self.free_for(Some(&order.workload), now);
-        self.open_for_work(now) && order.resources.fits_in(&free)
+        let free = self.free_for_workload(Some(&order.workload), now);
+        self.accepts_work(now) && order.resources.fits_in(&free)
     }
 
     /// Asks for the stop of an attempt. One that was never sent to the worker ends at once.
@@ -223,7 +223,7 @@
         }
         entry.start = None;
         entry.stop.get_or_insert(now);
-        entry.state = if entry.offered { TaskState::Stopping } else { TaskState::Ended(End::Stopped) };
+        entry.state = if entry.maybe_sent { TaskState::Stopping } else { TaskState::Ended(End::Stopped) };
     }
 
     /// States that the end of an attempt is durable.
@@ -234,7 +234,7 @@
     }
 
     /// Takes up whether the platform's list says that the worker is leaving.
-    pub fn listed_leaving(&mut self, leaving: bool) {
+    pub fn set_listed_leaving(&mut self, leaving: bool) {
         self.listed_leaving = leaving;
     }
 
@@ -242,9 +242,9 @@
     pub fn commands(&mut self, now: Instant) -> Vec<Command> {
         let mut commands = Vec::new();
         for ((task, attempt), entry) in &mut self.entries {
-            entry.offered = true;
+            entry.maybe_sent = true;
             commands.extend(entry.start.clone());
-            if entry.stops(now) {
+            if entry.stop_is_due(now) {
                 entry.stop_sent = true;
                 commands.push(Command::Checkpoint { task: task.clone(), attempt: *attempt });
                 commands.push(Command::Stop { task: task.clone(), attempt: *attempt });
@@ -257,14 +257,14 @@
     }
 
     /// Whether a batch should be sent without waiting for the next renewal.
-    pub fn urgent(&self, now: Instant) -> bool {
+    pub fn has_urgent_commands(&self, now: Instant) -> bool {
         self.entries
             .values()
-            .any(|entry| entry.start.is_some() || entry.acknowledged || (entry.stops(now) && !entry.stop_sent))
+            .any(|entry| entry.start.is_some() || entry.acknowledged || (entry.stop_is_due(now) && !entry.stop_sent))
     }
 
     /// Takes in the report that answers a batch made of `sent`, received `now`.
-    pub fn batch_answered(&mut self, sent: &[Command], report: Report, now: Instant) -> Vec<Ended> {
+    pub fn apply_batch_reply(&mut self, sent: &[Command], report: Report, now: Instant) -> Vec<EndedAttempt> {
         for command in sent {
             match command {
                 Command::Start { task, attempt, .. } => {
@@ -276,7 +276,7 @@
                 Command::Stop { .. } | Command::Throttle { .. } | Command::Checkpoint { .. } => {}
             }
         }
-        self.report(report, now)
+        self.apply_report(report, now)
     }
 
     /// Forgets an attempt whose end is durable and that its worker has forgotten.
@@ -287,47 +287,47 @@
         }
     }
 
-    fn report(&mut self, report: Report, now: Instant) -> Vec<Ended> {
+    fn apply_report(&mut self, report: Report, now: Instant) -> Vec<EndedAttempt> {
         self.reachable = true;
-        self.lapsed = false;
+        self.leases_expired = false;
         self.reported_at = now;
         self.stamp_ms = report.stamp_ms;
         self.incarnation = report.incarnation;
         self.capacity = report.capacity;
         self.leaving = report.leaving;
-        let mut found: BTreeMap<Key, worker::Task> = BTreeMap::new();
+        let mut reported: BTreeMap<AttemptKey, worker::Task> = BTreeMap::new();
         for task in report.tasks {
-            found.insert((task.task.clone(), task.attempt), task);
+            reported.insert((task.task.clone(), task.attempt), task);
         }
-        let mut ended = self.missing(&found);
-        for (key, task) in found {
-            ended.extend(self.reported(key, task));
+        let mut ended = self.end_missing(&reported);
+        for (key, task) in reported {
+            ended.extend(self.apply_task_report(key, task));
         }
-        self.judge(&ended, now);
+        self.record_results(&ended, now);
         ended
     }
 
     /// Attempts that the worker should have and does not: they have ended with the worker's earlier life.
-    fn missing(&mut self, found: &BTreeMap<Key, worker::Task>) -> Vec<Ended> {
+    fn end_missing(&mut self, reported: &BTreeMap<AttemptKey, worker::Task>) -> Vec<EndedAttempt> {
         let mut ended = Vec::new();
         for (key, entry) in &mut self.entries {
             let unsent = entry.start.is_some() || entry.stop.is_some();
-            if found.contains_key(key) || entry.ended() || unsent {
+            if reported.contains_key(key) || entry.ended() || unsent {
                 continue;
             }
             entry.state = TaskState::Ended(End::Restarted);
-            ended.push(Ended { task: key.0.clone(), attempt: key.1, end: End::Restarted });
+            ended.push(EndedAttempt { task: key.0.clone(), attempt: key.1, end: End::Restarted });
         }
         ended
     }
 
-    fn reported(&mut self, key: Key, task: worker::Task) -> Option<Ended> {
-        let entry = self.entries.entry(key.clone()).or_insert_with(|| Entry {
+    fn apply_task_report(&mut self, key: AttemptKey, task: worker::Task) -> Option<EndedAttempt> {
+        let entry = self.entries.entry(key.clone()).or_insert_with(|| AttemptEntry {
             resources: task.resources,
             patient: task.patient,
             state: TaskState::Starting,
             start: None,
-            offered: true,
+            maybe_sent: true,
             stop: None,
             stop_sent: false,
             unsaved: 0,
@@ -339,26 +339,26 @@
         if entry.ended() {
             return None;
         }
-        entry.unsaved = power_of_seconds(task.unsaved_ms);
+        entry.unsaved = log2_seconds(task.unsaved_ms);
         match task.run {
             Run::Running { address } if entry.stop.is_none() => entry.state = TaskState::Running(address),
             Run::Running { .. } | Run::Stopping => entry.state = TaskState::Stopping,
             Run::Ended { end } => {
                 entry.state = TaskState::Ended(end.clone());
-                return Some(Ended { task: key.0, attempt: key.1, end });
+                return Some(EndedAttempt { task: key.0, attempt: key.1, end });
             }
         }
         None
     }
 
-    fn judge(&mut self, ended: &[Ended], now: Instant) {
-        for one in ended {
-            match &one.end {
+    fn record_results(&mut self, ended: &[EndedAttempt], now: Instant) {
+        for attempt in ended {
+            match &attempt.end {
                 End::Finished => {
-                    self.trust.succeeded();
+                    self.health.record_success();
                 }
                 End::Failed { .. } => {
-                    self.trust.failed(&one.task.workload, now);
+                    self.health.record_failure(&attempt.task.workload, now);
                 }
                 End::Stopped | End::Lost | End::Restarted => {}
             }
@@ -366,18 +366,18 @@
     }
 
     /// Notes that the worker did not answer. Tells whether that is news.
-    pub fn silent(&mut self) -> bool {
+    pub fn mark_unreachable(&mut self) -> bool {
         std::mem::replace(&mut self.reachable, false)
     }
 
-    /// Ends all attempts on a silent worker once their leases have surely lapsed. `sole` states that no other
+    /// Ends all attempts on a silent worker once their leases have surely lapsed. `sole_holder` states that no other
     /// host can have renewed them since: the caller knows it from its peers, or from the platform's list.
-    pub fn lapse(&mut self, sole: bool, now: Instant) -> Vec<Ended> {
-        let lapses_at = self.reported_at + self.limits.lease + self.limits.margin;
-        if self.reachable || self.lapsed || !sole || now <= lapses_at {
+    pub fn expire_leases(&mut self, sole_holder: bool, now: Instant) -> Vec<EndedAttempt> {
+        let expire_at = self.reported_at + self.limits.lease + self.limits.margin;
+        if self.reachable || self.leases_expired || !sole_holder || now <= expire_at {
             return Vec::new();
         }
-        self.lapsed = true;
+        self.leases_expired = true;
         let mut ended = Vec::new();
         for (key, entry) in &mut self.entries {
             if entry.ended() {
@@ -385,7 +385,7 @@
             }
             entry.start = None;
             entry.state = TaskState::Ended(End::Lost);
-            ended.push(Ended { task: key.0.clone(), attempt: key.1, end: End::Lost });
+            ended.push(EndedAttempt { task: key.0.clone(), attempt: key.1, end: End::Lost });
         }
         ended
     }
@@ -397,7 +397,7 @@
 
     /// Whether it is on probation.
     pub fn on_probation(&self) -> bool {
-        self.trust.on_probation()
+        self.health.on_probation()
     }
 
     /// What peers are told of the worker.
@@ -407,13 +407,13 @@
         WorkerFact {
             epoch: self.epoch,
             capacity: self.capacity,
-            free: self.free_for(None, now),
+            free: self.free_for_workload(None, now),
             patient: patient.fold(Resources::ZERO, |sum, entry| sum.checked_add(&entry.resources).unwrap_or(sum)),
             reachable: self.reachable,
-            open: self.open_for_work(now),
+            open: self.accepts_work(now),
             leaving: self.leaving || self.listed_leaving,
-            probation: self.trust.on_probation(),
-            lapsed: self.lapsed,
+            probation: self.health.on_probation(),
+            lapsed: self.leases_expired,
         }
     }
 
@@ -433,6 +433,6 @@
 }
 
 /// The power of two of seconds that a time has reached; 0 below two seconds.
-fn power_of_seconds(milliseconds: u64) -> u8 {
+fn log2_seconds(milliseconds: u64) -> u8 {
     (milliseconds / 1000).checked_ilog2().unwrap_or(0) as u8
 }
--- a/components/ledger/src/lib.rs
+++ b/components/ledger/src/lib.rs
@@ -4,10 +4,10 @@
 //! It counts the declared size of everything started, stopping or in doubt, and it is rebuilt from the
 //! worker's own report before the first decision under a new epoch.
 
-mod book;
-mod reserve;
-mod trust;
+mod health;
+mod ledger;
+mod reservations;
 
-pub use book::{Commit, DRAIN, Ended, Ledger, Limits};
-pub use reserve::Reservation;
-pub use trust::Trust;
+pub use health::WorkerHealth;
+pub use ledger::{CommitResult, DRAIN_DELAY, EndedAttempt, LeaseLimits, Ledger};
+pub use reservations::Reservation;
--- a/components/ledger/src/reserve.rs
+++ b/components/ledger/src/reservations.rs
@@ -1,4 +1,4 @@
-//! Room that is kept for a workload while it becomes free: for a gang that gathers its workers, a large task
+//! Room that is reserved for a workload while it becomes free: for a gang that gathers its workers, a large task
 //! that small ones would starve, or urgent work whose victims are stopping.
 //!
 //! A reservation ends by itself, so a coordinator that dies leaves none behind.
@@ -9,9 +9,9 @@
 use model::{Resources, WorkloadId};
 
 /// A reservation lives for so long unless it is renewed.
-pub(crate) const LIFE: Duration = Duration::from_secs(3);
+pub(crate) const RESERVATION_TTL: Duration = Duration::from_secs(3);
 
-/// Room kept for one workload.
+/// Room reserved for one workload.
 #[derive(Clone, Debug)]
 pub struct Reservation {
     /// How much.
@@ -29,7 +29,7 @@
 impl Reservations {
     pub(crate) fn put(&mut self, workload: WorkloadId, resources: Resources, seniority: u64, now: Instant) {
         self.expire(now);
-        self.0.insert(workload, Reservation { resources, seniority, until: now + LIFE });
+        self.0.insert(workload, Reservation { resources, seniority, until: now + RESERVATION_TTL });
     }
 
     pub(crate) fn expire(&mut self, now: Instant) {
@@ -45,18 +45,18 @@
         }
     }
 
-    /// What is kept from `workload` for others: all reservations senior to its own, or all when it has none.
-    pub(crate) fn kept_from(&self, workload: Option<&str>, now: Instant) -> Resources {
+    /// What is reserved from `workload` for others: all reservations senior to its own, or all when it has none.
+    pub(crate) fn reserved_for_others(&self, workload: Option<&str>, now: Instant) -> Resources {
         let own = workload.and_then(|name| self.0.get(name)).map(|own| own.seniority);
-        let mut kept = Resources::ZERO;
+        let mut reserved = Resources::ZERO;
         for (name, reservation) in &self.0 {
             let is_own = Some(name.as_str()) == workload;
             let junior = own.is_some_and(|own| reservation.seniority > own);
             if is_own || junior || reservation.until <= now {
                 continue;
             }
-            kept = kept.checked_add(&reservation.resources).unwrap_or(kept);
+            reserved = reserved.checked_add(&reservation.resources).unwrap_or(reserved);
         }
-        kept
+        reserved
     }
 }
--- a/components/ledger/tests/ledger.rs
+++ b/components/ledger/tests/ledger.rs
@@ -3,14 +3,14 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use ledger::{Commit, Ledger, Limits};
+use ledger::{CommitResult, LeaseLimits, Ledger};
 use model::Resources;
 use model::task::{Attempt, End, Id};
 use proptest::prelude::*;
 use wire::{Fact, FactKey, ReserveOrder, StartOrder, TaskState};
 use worker::{Command, Report, Run, Task};
 
-const LIMITS: Limits = Limits { lease: Duration::from_secs(15), margin: Duration::from_secs(1) };
+const LIMITS: LeaseLimits = LeaseLimits { lease: Duration::from_secs(15), margin: Duration::from_secs(1) };
 
 fn task(workload: &str, index: u32) -> Id {
     Id { workload: workload.to_owned(), life: 1, data_centre: "gt-1".to_owned(), index }
@@ -68,8 +68,8 @@
 fn a_ledger_opened_after_a_takeover_counts_what_already_runs() {
     let now = Instant::now();
     let mut ledger = open(vec![found("old", 0, 1, 10, running())], now);
-    assert_eq!(ledger.commit(&order("new", 0, 1, 8), now), Commit::Full(Resources::new(6, 65536 - 10240, 0)));
-    assert_eq!(ledger.commit(&order("new", 0, 1, 6), now), Commit::Accepted);
+    assert_eq!(ledger.commit(&order("new", 0, 1, 8), now), CommitResult::Full(Resources::new(6, 65536 - 10240, 0)));
+    assert_eq!(ledger.commit(&order("new", 0, 1, 6), now), CommitResult::Accepted);
 }
 
 #[test]
@@ -77,7 +77,7 @@
     let now = Instant::now();
     let mut ledger = open(Vec::new(), now);
     for _ in 0..3 {
-        assert_eq!(ledger.commit(&order("a", 0, 1, 10), now), Commit::Accepted);
+        assert_eq!(ledger.commit(&order("a", 0, 1, 10), now), CommitResult::Accepted);
     }
     assert_eq!(ledger.free(), Resources::new(6, 65536 - 10240, 0));
 }
@@ -86,7 +86,7 @@
 fn a_second_attempt_is_refused_while_the_first_lives() {
     let now = Instant::now();
     let mut ledger = open(vec![found("a", 0, 1, 1, running())], now);
-    assert_eq!(ledger.commit(&order("a", 0, 2, 1), now), Commit::Closed);
+    assert_eq!(ledger.commit(&order("a", 0, 2, 1), now), CommitResult::Closed);
 }
 
 #[test]
@@ -95,9 +95,9 @@
     let mut ledger = open(Vec::new(), now);
     ledger.commit(&order("a", 0, 1, 1), now);
     let first = ledger.commands(now);
-    ledger.silent();
+    ledger.mark_unreachable();
     assert_eq!(ledger.commands(now), first, "the answer was lost");
-    ledger.batch_answered(&first, report(vec![found("a", 0, 1, 1, running())]), now);
+    ledger.apply_batch_reply(&first, report(vec![found("a", 0, 1, 1, running())]), now);
     assert_eq!(state(&ledger, "a"), Some(TaskState::Running(None)));
     assert!(ledger.commands(now).is_empty());
 }
@@ -129,14 +129,14 @@
     let now = Instant::now();
     let ended = || report(vec![found("a", 0, 1, 4, Run::Ended { end: End::Finished })]);
     let mut ledger = open(vec![found("a", 0, 1, 4, running())], now);
-    assert_eq!(ledger.batch_answered(&[], ended(), now).len(), 1);
-    assert!(ledger.batch_answered(&[], ended(), now).is_empty(), "told once");
+    assert_eq!(ledger.apply_batch_reply(&[], ended(), now).len(), 1);
+    assert!(ledger.apply_batch_reply(&[], ended(), now).is_empty(), "told once");
     assert_eq!(ledger.free().cpu_milli, 16_000);
     assert_eq!(state(&ledger, "a"), Some(TaskState::Ended(End::Finished)));
     ledger.acknowledge(&task("a", 0), attempt(1));
     let commands = ledger.commands(now);
     assert_eq!(commands, [Command::Acknowledge { task: task("a", 0), attempt: attempt(1) }]);
-    ledger.batch_answered(&commands, report(Vec::new()), now);
+    ledger.apply_batch_reply(&commands, report(Vec::new()), now);
     assert_eq!(state(&ledger, "a"), None);
 }
 
@@ -145,7 +145,7 @@
     let now = Instant::now();
     let mut ledger = open(vec![found("a", 0, 1, 4, running())], now);
     let restarted = Report { incarnation: 2, ..report(Vec::new()) };
-    let ended = ledger.batch_answered(&[], restarted, now);
+    let ended = ledger.apply_batch_reply(&[], restarted, now);
     assert_eq!(ended[0].end, End::Restarted);
 }
 
@@ -153,11 +153,14 @@
 fn a_silent_workers_tasks_end_only_after_lease_and_margin_and_only_under_a_sole_hold() {
     let start = Instant::now();
     let mut ledger = open(vec![found("a", 0, 1, 4, running())], start);
-    ledger.silent();
-    assert!(ledger.lapse(true, start + Duration::from_secs(16)).is_empty());
-    assert!(ledger.lapse(false, start + Duration::from_secs(17)).is_empty(), "another host may have renewed it");
-    assert_eq!(ledger.lapse(true, start + Duration::from_secs(17)).len(), 1);
-    assert_eq!(ledger.commit(&order("b", 0, 1, 1), start + Duration::from_secs(17)), Commit::Closed);
+    ledger.mark_unreachable();
+    assert!(ledger.expire_leases(true, start + Duration::from_secs(16)).is_empty());
+    assert!(
+        ledger.expire_leases(false, start + Duration::from_secs(17)).is_empty(),
+        "another host may have renewed it"
+    );
+    assert_eq!(ledger.expire_leases(true, start + Duration::from_secs(17)).len(), 1);
+    assert_eq!(ledger.commit(&order("b", 0, 1, 1), start + Duration::from_secs(17)), CommitResult::Closed);
 }
 
 #[test]
@@ -167,19 +170,19 @@
         found(workload, 0, 1, 1, Run::Ended { end: End::Failed { message: "no such device".to_owned() } })
     };
     let mut ledger = open(Vec::new(), start);
-    ledger.batch_answered(&[], report(vec![failed("a"), failed("b")]), start);
+    ledger.apply_batch_reply(&[], report(vec![failed("a"), failed("b")]), start);
     assert!(!ledger.on_probation(), "two workloads may both be bad");
-    ledger.batch_answered(&[], report(vec![failed("a"), failed("b"), failed("c")]), start);
+    ledger.apply_batch_reply(&[], report(vec![failed("a"), failed("b"), failed("c")]), start);
     assert!(ledger.on_probation());
-    assert_eq!(ledger.commit(&order("d", 0, 1, 1), start), Commit::Closed);
+    assert_eq!(ledger.commit(&order("d", 0, 1, 1), start), CommitResult::Closed);
     let later = start + Duration::from_secs(11);
-    assert_eq!(ledger.commit(&order("d", 0, 1, 1), later), Commit::Accepted);
-    assert_eq!(ledger.commit(&order("e", 0, 1, 1), later), Commit::Closed, "one trial at a time");
+    assert_eq!(ledger.commit(&order("d", 0, 1, 1), later), CommitResult::Accepted);
+    assert_eq!(ledger.commit(&order("e", 0, 1, 1), later), CommitResult::Closed, "one trial at a time");
     let good = report(vec![found("d", 0, 1, 1, Run::Ended { end: End::Finished })]);
     let commands = ledger.commands(later);
-    ledger.batch_answered(&commands, good, later);
+    ledger.apply_batch_reply(&commands, good, later);
     assert!(!ledger.on_probation(), "it passed its trial");
-    assert_eq!(ledger.commit(&order("e", 0, 1, 1), later), Commit::Accepted);
+    assert_eq!(ledger.commit(&order("e", 0, 1, 1), later), CommitResult::Accepted);
 }
 
 #[test]
@@ -195,11 +198,11 @@
     };
     ledger.reserve(&reserve("old-gang", 10, 1), start);
     ledger.reserve(&reserve("young-gang", 10, 2), start);
-    assert!(matches!(ledger.commit(&order("small", 0, 1, 1), start), Commit::Full(_)));
-    assert!(matches!(ledger.commit(&order("young-gang", 0, 1, 8), start), Commit::Full(_)));
-    assert_eq!(ledger.commit(&order("old-gang", 0, 1, 10), start), Commit::Accepted);
+    assert!(matches!(ledger.commit(&order("small", 0, 1, 1), start), CommitResult::Full(_)));
+    assert!(matches!(ledger.commit(&order("young-gang", 0, 1, 8), start), CommitResult::Full(_)));
+    assert_eq!(ledger.commit(&order("old-gang", 0, 1, 10), start), CommitResult::Accepted);
     let later = start + Duration::from_secs(4);
-    assert_eq!(ledger.commit(&order("small", 0, 1, 6), later), Commit::Accepted);
+    assert_eq!(ledger.commit(&order("small", 0, 1, 6), later), CommitResult::Accepted);
 }
 
 #[test]
@@ -228,10 +231,10 @@
     ledger.stop(&task("planner", 0), attempt(1), now);
     assert_eq!(state(&ledger, "planner"), Some(TaskState::Stopping), "told to the peers at once");
     assert!(ledger.commands(now).is_empty());
-    let drained = now + ledger::DRAIN;
-    assert!(ledger.urgent(drained));
+    let drained = now + ledger::DRAIN_DELAY;
+    assert!(ledger.has_urgent_commands(drained));
     assert!(ledger.commands(drained).iter().any(|command| matches!(command, Command::Stop { .. })));
-    assert!(!ledger.urgent(drained), "sent; repeated with the renewals");
+    assert!(!ledger.has_urgent_commands(drained), "sent; repeated with the renewals");
 }
 
 /// A worker reduced to what the ledger can see of it.
@@ -324,7 +327,7 @@
                 Step::Batch => {
                     let commands = ledger.commands(now);
                     double.carry_out(&commands);
-                    ledger.batch_answered(&commands, double.report(), now);
+                    ledger.apply_batch_reply(&commands, double.report(), now);
                 }
                 Step::BatchAnswerLost => double.carry_out(&ledger.commands(now)),
                 Step::BatchLost => { ledger.commands(now); }
--- a/components/member/src/digest.rs
+++ b/components/member/src/digest.rs
@@ -47,16 +47,16 @@
     /// Version of the facts that it publishes.
     pub facts: u64,
     /// What it last heard from each live host of its own data centre.
-    pub heard: Vec<Heard>,
+    pub heard: Vec<LastHeard>,
     /// Some other live hosts, so that a newcomer who knows one host comes to know all. Not in every digest.
     pub known: Vec<Peer>,
 }
 
 /// What was last heard from a host, kept short: it is most of a digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Heard {
+pub struct LastHeard {
     /// Stands for its name.
-    pub host: HostMark,
+    pub host: HostHash,
     /// The last four bytes of its incarnation.
     pub life: u32,
     /// The sequence of its last digest.
@@ -64,9 +64,9 @@
 }
 
 /// Stands for a host's name where many names would be sent.
-pub type HostMark = u32;
+pub type HostHash = u32;
 
 /// The mark of a host's name.
-pub fn mark(host: &str) -> HostMark {
-    xxhash_rust::xxh3::xxh3_64(host.as_bytes()) as HostMark
+pub fn hash_host(host: &str) -> HostHash {
+    xxhash_rust::xxh3::xxh3_64(host.as_bytes()) as HostHash
 }
--- a/components/member/src/lib.rs
+++ b/components/member/src/lib.rs
@@ -6,6 +6,6 @@
 mod rendezvous;
 mod table;
 
-pub use digest::{Digest, Heard, HostMark, Peer, Presence, mark};
-pub use rendezvous::{rank, winner};
-pub use table::{Limits, Member, State, Table};
+pub use digest::{Digest, HostHash, LastHeard, Peer, Presence, hash_host};
+pub use rendezvous::{highest_ranked, rank};
+pub use table::{DetectorLimits, HostState, Member, MemberTable};
--- a/components/member/src/rendezvous.rs
+++ b/components/member/src/rendezvous.rs
@@ -4,7 +4,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// The candidate responsible for `key`; `None` without candidates.
-pub fn winner<'a>(key: &str, candidates: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
+pub fn highest_ranked<'a>(key: &str, candidates: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     candidates.into_iter().max_by_key(|candidate| (score(key, candidate), *candidate))
 }
 
--- a/components/node/src/claims.rs
+++ b/components/node/src/claims.rs
@@ -6,7 +6,7 @@
 
 use claim::{Authority, Claim, Step, View};
 use jobs::JobTracker;
-use member::{Presence, State};
+use member::{HostState, Presence};
 use model::workload::partition;
 use model::{Partition, Revision};
 use store::{Compare, Put, Txn, Use};
@@ -42,7 +42,7 @@
         let view = View {
             claim: claim.as_ref(),
             own: &shared.owner,
-            winner: member::winner(&key, hosts.iter().map(String::as_str)),
+            winner: member::highest_ranked(&key, hosts.iter().map(String::as_str)),
             owner_live: claim.as_ref().is_some_and(|claim| owner_live(shared, claim)),
         };
         match claim::step(view) {
@@ -61,7 +61,7 @@
     }
     let state = shared.membership.state(&owner.host);
     let same_life = shared.membership.get(&owner.host).is_some_and(|member| member.incarnation == owner.incarnation);
-    same_life && matches!(state, Some(State::Live | State::Leaving))
+    same_life && matches!(state, Some(HostState::Live | HostState::Leaving))
 }
 
 /// The record names another owner: this host has none of it any more.
--- a/components/node/src/holds.rs
+++ b/components/node/src/holds.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use futures_util::future::join_all;
-use ledger::{Commit, Ended, Ledger};
-use member::{Presence, State};
+use ledger::{CommitResult, EndedAttempt, Ledger};
+use member::{HostState, Presence};
 use model::{Epoch, Partition, WorkerId};
 use parking_lot::Mutex;
 use tokio::sync::Notify;
@@ -107,7 +107,7 @@
     pausing.retain(|_, until| *until > now);
     let workers = shared.listing.workers(shared.data_centre());
     let mine = workers.into_iter().filter(|(worker, _)| {
-        let winner = member::winner(worker, hosts.iter().map(String::as_str));
+        let winner = member::highest_ranked(worker, hosts.iter().map(String::as_str));
         winner == Some(shared.own.host.as_str()) && !pausing.contains_key(worker)
     });
     mine.filter(|(worker, _)| shared.holds.get(worker).is_none()).collect()
@@ -156,7 +156,7 @@
         }
     };
     let mut ledger = Ledger::open(worker.clone(), epoch, report, shared.ledger_limits(), now);
-    ledger.listed_leaving(is_leaving(&shared, &worker, Some(&listed)));
+    ledger.set_listed_leaving(is_leaving(&shared, &worker, Some(&listed)));
     let held = Arc::new(Held { ledger: Mutex::new(ledger), wake: Notify::new(), client });
     shared.holds.held.lock().insert(worker.clone(), held.clone());
     events::emit!(shared.log, events::WORKER_HELD, "worker" => &worker, "epoch" => epoch);
@@ -171,7 +171,7 @@
         let (renew, urgent) = {
             let ledger = held.ledger.lock();
             let renew = if ledger.reachable() { shared.settings.tasks.renew_every } else { SILENT };
-            (renew, ledger.reachable() && ledger.urgent(Instant::now()))
+            (renew, ledger.reachable() && ledger.has_urgent_commands(Instant::now()))
         };
         if urgent {
             tokio::time::sleep(GATHER).await;
@@ -218,7 +218,7 @@
             let (ended, before) = {
                 let mut ledger = held.ledger.lock();
                 let before = (ledger.reachable(), ledger.on_probation());
-                (ledger.batch_answered(&sent, report, now), before)
+                (ledger.apply_batch_reply(&sent, report, now), before)
             };
             note_recovery(shared, worker, held, before);
             note_ends(shared, &ended);
@@ -231,10 +231,10 @@
         Err(fault) => {
             let sole = is_sole_holder(shared, worker, batch.epoch, now);
             let mut ledger = held.ledger.lock();
-            if ledger.silent() {
+            if ledger.mark_unreachable() {
                 events::emit!(shared.log, events::WORKER_SILENT, "worker" => worker, "why" => fault.to_string());
             }
-            let ended = ledger.lapse(sole, now);
+            let ended = ledger.expire_leases(sole, now);
             drop(ledger);
             if !ended.is_empty() {
                 events::emit!(shared.log, events::WORKER_LAPSED, "worker" => worker, "tasks" => ended.len());
@@ -258,7 +258,7 @@
     }
 }
 
-fn note_ends(shared: &Shared, ended: &[Ended]) {
+fn note_ends(shared: &Shared, ended: &[EndedAttempt]) {
     for one in ended {
         let (task, attempt) = (one.task.to_string(), one.attempt.to_string());
         events::emit!(shared.log, events::TASK_ENDED, "task" => task, "attempt" => attempt, "how" => format!("{:?}", one.end));
@@ -278,7 +278,7 @@
     let neighbours = shared.membership.all().into_iter();
     let mut unheard = neighbours.filter(|member| {
         member.peer.data_centre == *shared.data_centre()
-            && shared.membership.state(&member.peer.host) == Some(State::Dead)
+            && shared.membership.state(&member.peer.host) == Some(HostState::Dead)
             && member.presence != Presence::Gone
     });
     !unheard.any(|member| {
@@ -311,7 +311,7 @@
 pub(crate) fn refresh_leaving(shared: &Arc<Shared>) {
     for (worker, held) in shared.holds.all() {
         let leaving = is_leaving(shared, &worker, shared.listing.get(&worker).as_ref());
-        held.ledger.lock().listed_leaving(leaving);
+        held.ledger.lock().set_listed_leaving(leaving);
         publish(shared, &held, Instant::now());
     }
 }
@@ -362,9 +362,9 @@
             (ledger.commit(order, now), ledger.epoch())
         };
         answers.push(match commit {
-            Commit::Accepted => StartAnswer::Accepted(hold),
-            Commit::Full(free) => StartAnswer::Full(free),
-            Commit::Closed => StartAnswer::Closed,
+            CommitResult::Accepted => StartAnswer::Accepted(hold),
+            CommitResult::Full(free) => StartAnswer::Full(free),
+            CommitResult::Closed => StartAnswer::Closed,
         });
         touched.insert(order.worker.clone(), held);
     }
--- a/components/node/src/membership.rs
+++ b/components/node/src/membership.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use member::{Digest, Limits, Member, Peer, Presence, State, Table};
+use member::{DetectorLimits, Digest, HostState, Member, MemberTable, Peer, Presence};
 use model::{DataCentreId, HostId, Incarnation, Revision};
 use parking_lot::Mutex;
 use rand::seq::IndexedRandom;
@@ -29,11 +29,11 @@
 
 /// All under one lock: there is no order of locks to get wrong.
 struct Hosts {
-    table: Table,
+    table: MemberTable,
     /// Hosts that others named and that were not heard yet.
     named: HashMap<HostId, SocketAddr>,
     /// The states that were last reported as news.
-    seen: HashMap<HostId, State>,
+    seen: HashMap<HostId, HostState>,
 }
 
 /// The other entry hosts, as this one sees them.
@@ -51,16 +51,16 @@
 
 impl Membership {
     pub(crate) fn new(own: Peer, incarnation: Incarnation, dead_after: Duration) -> Membership {
-        let limits = Limits {
+        let limits = DetectorLimits {
             dead_after,
-            far_dead_after: dead_after * FAR_PATIENCE,
-            echo_within: dead_after / 2,
-            pause: dead_after / 2,
-            ..Limits::default()
+            remote_dead_after: dead_after * FAR_PATIENCE,
+            echo_timeout: dead_after / 2,
+            pause_threshold: dead_after / 2,
+            ..DetectorLimits::default()
         };
         Membership {
             state: Mutex::new(Hosts {
-                table: Table::new(own.clone(), incarnation, limits),
+                table: MemberTable::new(own.clone(), incarnation, limits),
                 named: HashMap::new(),
                 seen: HashMap::new(),
             }),
@@ -85,7 +85,7 @@
     /// Live hosts of a data centre, this one too while it serves.
     pub(crate) fn live_in(&self, data_centre: &DataCentreId) -> Vec<HostId> {
         let serving = self.presence() == Presence::Serving;
-        self.state.lock().table.live_in(data_centre, serving, Instant::now())
+        self.state.lock().table.live_hosts_in(data_centre, serving, Instant::now())
     }
 
     /// Hosts of the own data centre that may send requests to instances: also the leaving ones, until they are
@@ -100,7 +100,7 @@
     /// The live host of the own data centre that is responsible for a key; `None` when there is none.
     pub(crate) fn responsible(&self, key: &str) -> Option<HostId> {
         let hosts = self.live_in(&self.own.data_centre);
-        member::winner(key, hosts.iter().map(String::as_str)).map(str::to_owned)
+        member::highest_ranked(key, hosts.iter().map(String::as_str)).map(str::to_owned)
     }
 
     /// Whether this host is responsible for a key.
@@ -108,7 +108,7 @@
         self.responsible(key).as_deref() == Some(self.own.host.as_str())
     }
 
-    pub(crate) fn state(&self, host: &str) -> Option<State> {
+    pub(crate) fn state(&self, host: &str) -> Option<HostState> {
         self.state.lock().table.state(host, Instant::now())
     }
 
@@ -141,18 +141,18 @@
     /// The hosts of the data centre among which responsibility for keys is divided.
     pub(crate) fn homes(&self, dropped: impl Fn(&str) -> bool) -> Vec<HostId> {
         let serving = self.presence() == Presence::Serving;
-        self.state.lock().table.homes(serving, dropped, Instant::now())
+        self.state.lock().table.responsible_hosts(serving, dropped, Instant::now())
     }
 
     /// Looks at the clock, so that a pause of this host is noticed before anybody is taken for dead.
     pub(crate) fn awake(&self) {
-        self.state.lock().table.awake(Instant::now());
+        self.state.lock().table.tick(Instant::now());
     }
 
     fn digest(&self, cell: &str, configuration: Revision, facts: u64, now: Instant) -> Digest {
         let table = &mut self.state.lock().table;
         let sequence = self.sequence.fetch_add(1, Ordering::Relaxed) + 1;
-        table.sending(sequence, now);
+        table.record_sent(sequence, now);
         let reachable = table.reachable(now);
         // While few are known, this host may be a newcomer itself: then it names them each time.
         let count = if sequence.is_multiple_of(NAMED_EVERY) || sequence < NAMED_EVERY { NAMED } else { 0 };
@@ -165,7 +165,7 @@
             presence: self.presence(),
             configuration,
             facts,
-            heard: table.heard(now),
+            heard: table.heard_hosts(now),
             known: named.map(|member| member.peer.clone()).collect(),
         }
     }
@@ -194,7 +194,7 @@
         }
         let dead: Vec<SocketAddr> = table
             .iter()
-            .filter(|member| table.state(&member.peer.host, now) == Some(State::Dead))
+            .filter(|member| table.state(&member.peer.host, now) == Some(HostState::Dead))
             .map(|member| member.peer.peers)
             .collect();
         targets.extend(dead.choose(&mut rng));
@@ -205,7 +205,7 @@
 
     fn hear(&self, digest: &Digest, now: Instant) -> bool {
         let Hosts { table, named, .. } = &mut *self.state.lock();
-        let changed = table.hear(digest, now);
+        let changed = table.receive(digest, now);
         named.remove(&digest.from.host);
         for peer in &digest.known {
             if peer.host != self.own.host && table.get(&peer.host).is_none() {
@@ -216,9 +216,9 @@
     }
 
     /// Hosts whose state is not what it was at the last call.
-    fn news(&self, now: Instant) -> Vec<(HostId, State)> {
+    fn news(&self, now: Instant) -> Vec<(HostId, HostState)> {
         let Hosts { table, seen, .. } = &mut *self.state.lock();
-        table.forget(now);
+        table.remove_expired(now);
         let mut news = Vec::new();
         for member in table.iter() {
             let host = &member.peer.host;
@@ -272,9 +272,9 @@
     }
     for (host, state) in news {
         match state {
-            State::Live => events::emit!(shared.log, events::HOST_LIVE, "peer" => host),
-            State::Leaving => events::emit!(shared.log, events::HOST_LEAVING, "peer" => host),
-            State::Dead => events::emit!(shared.log, events::HOST_DEAD, "peer" => host),
+            HostState::Live => events::emit!(shared.log, events::HOST_LIVE, "peer" => host),
+            HostState::Leaving => events::emit!(shared.log, events::HOST_LEAVING, "peer" => host),
+            HostState::Dead => events::emit!(shared.log, events::HOST_DEAD, "peer" => host),
         }
     }
     shared.membership.changed.notify_waiters();
--- a/components/node/src/services.rs
+++ b/components/node/src/services.rs
@@ -51,7 +51,7 @@
         host: member.peer.host.clone(),
         data_centre: member.peer.data_centre.clone(),
         relay: member.peer.relay,
-        live: shared.membership.state(&member.peer.host) == Some(member::State::Live),
+        live: shared.membership.state(&member.peer.host) == Some(member::HostState::Live),
     });
     let (now, lease) = (Instant::now(), shared.settings.tasks.lease);
     let dropped = |host: &str| shared.listing.gone_for(host, lease, now);
--- a/components/node/src/shared.rs
+++ b/components/node/src/shared.rs
@@ -63,9 +63,9 @@
         self.settings.membership.dead_after
     }
 
-    pub(crate) fn ledger_limits(&self) -> ledger::Limits {
+    pub(crate) fn ledger_limits(&self) -> ledger::LeaseLimits {
         let lease = self.settings.tasks.lease;
-        ledger::Limits { lease, margin: lease / 10 }
+        ledger::LeaseLimits { lease, margin: lease / 10 }
     }
 
     pub(crate) fn platform_said<T>(&self, outcome: &Result<T, store::Fault>) {
--- a/components/node/src/show.rs
+++ b/components/node/src/show.rs
@@ -6,7 +6,7 @@
 
 use futures_util::future::join_all;
 use jobs::Phase;
-use member::State;
+use member::HostState;
 use model::workload::{Intent, Kind};
 use query::{Statement, Subject, Table, Topic};
 use wire::{Answer, Request};
@@ -245,7 +245,7 @@
     let presence = format!("{:?}", shared.membership.presence()).to_lowercase();
     add(&own.host, &own.data_centre, presence, own.peers.to_string(), shared.configuration.revision());
     for member in shared.membership.all() {
-        let state = shared.membership.state(&member.peer.host).unwrap_or(State::Dead);
+        let state = shared.membership.state(&member.peer.host).unwrap_or(HostState::Dead);
         let state = format!("{state:?}").to_lowercase();
         let peer = &member.peer;
         add(&peer.host, &peer.data_centre, state, peer.peers.to_string(), member.configuration);
--- a/components/request/src/home.rs
+++ b/components/request/src/home.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, SystemTime};
 
-use member::winner;
+use member::highest_ranked;
 use model::HostId;
 
 /// Views of the live hosts older than a key can be are forgotten; this many are kept at the most.
@@ -110,5 +110,5 @@
 }
 
 fn home<'a>(key: &str, hosts: &'a [HostId]) -> Option<&'a str> {
-    winner(key, hosts.iter().map(String::as_str))
+    highest_ranked(key, hosts.iter().map(String::as_str))
 }
