--- a/components/jobs/src/job.rs
+++ b/components/jobs/src/job.rs
@@ -1,4 +1,4 @@
-//! One workload's share in this data centre.
+//! The tasks of one workload that are assigned to this data centre.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -11,25 +11,28 @@
 use crate::failures::{Failures, RetryState};
 use crate::task::{Phase, Task};
 
-/// A service instance that ran for so long counts as a success.
+/// A task that ran this long counts as healthy: its earlier failures are forgotten, and the loss of its worker is
+/// not blamed on it.
 const HEALTHY_AFTER: std::time::Duration = std::time::Duration::from_secs(60);
-/// An instance on a leaving worker is stopped after so long even when its successor does not run yet.
+/// How long a service instance on a leaving worker waits for its replacement to run before it is stopped anyway.
 const REPLACEMENT_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(10);
 
-/// A workload's share, with its tasks.
+/// The part of a workload that this data centre runs, with its tasks.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The record that it follows.
+    /// The latest accepted record of the workload, with its revision.
     pub versioned: Versioned,
-    /// Its tasks by position.
+    /// The tasks by index.
     pub tasks: BTreeMap<u32, Task>,
-    /// Its failures.
+    /// Failures since the last success.
     pub failures: Failures,
     data_centre: DataCentreId,
+    /// Indexes of the tasks in [`Phase::Waiting`].
     waiting: BTreeSet<u32>,
-    /// Since when nothing of it lives or is left to run.
+    /// When the job was first seen complete.
     complete_since: Option<Instant>,
-    /// Instances that leave their worker, with their successor and since when.
+    /// Service instances that are moving off a leaving worker: for each one, the index of its replacement and the
+    /// time at which that was added.
     replacements: BTreeMap<u32, (u32, Instant)>,
 }
 
@@ -46,12 +49,12 @@
         }
     }
 
-    /// What was asked for.
+    /// The workload's specification.
     pub fn workload(&self) -> &Workload {
         &self.versioned.record.workload
     }
 
-    /// Tasks that this data centre should run.
+    /// Number of tasks that this data centre should run; zero once the workload is cancelled.
     pub fn desired_count(&self) -> u32 {
         if self.versioned.record.intent == Intent::Cancel {
             return 0;
@@ -59,17 +62,17 @@
         self.versioned.record.shares.get(&self.data_centre).copied().unwrap_or(0)
     }
 
-    /// Whether an operator cancelled it.
+    /// Whether the workload is cancelled.
     pub fn cancelled(&self) -> bool {
         self.versioned.record.intent == Intent::Cancel
     }
 
-    /// Positions of tasks that wait for a start.
+    /// Indexes of the tasks that wait for a start.
     pub fn waiting(&self) -> &BTreeSet<u32> {
         &self.waiting
     }
 
-    /// Name of the task at a position.
+    /// Full identifier of the task at `index`.
     pub fn id(&self, index: u32) -> Id {
         Id {
             workload: self.workload().name.clone(),
@@ -79,7 +82,7 @@
         }
     }
 
-    /// Moves a task to a phase; the only place that does, so that the waiting set stays right.
+    /// Sets the phase of a task. All phase changes go through here, which keeps `waiting` consistent.
     pub(crate) fn set_phase(&mut self, index: u32, phase: Phase, now: Instant) {
         let Some(task) = self.tasks.get_mut(&index) else { return };
         if phase == Phase::Waiting {
@@ -104,7 +107,7 @@
         self.replacements.remove(&index);
     }
 
-    /// Marks tasks that finished in an earlier epoch.
+    /// Marks the tasks as finished that a previous owner has stored as finished.
     pub(crate) fn restore(&mut self, progress: &Progress, now: Instant) {
         if progress.life != self.versioned.record.life {
             return;
@@ -114,7 +117,8 @@
         }
     }
 
-    /// Makes the tasks match what is desired: adds missing ones in `phase`, drops surplus ones that don't live.
+    /// Adjusts the tasks to the desired count: adds missing tasks in `phase`, and removes surplus tasks that have no
+    /// live attempt.
     pub(crate) fn resize(&mut self, phase: Phase, now: Instant) {
         let desired = self.desired_count();
         if self.workload().kind != Kind::Service {
@@ -134,7 +138,8 @@
     fn resize_non_service(&mut self, desired: u32, phase: Phase, now: Instant) {
         let last = self.tasks.keys().next_back().map_or(0, |last| last + 1);
         if last == desired && self.tasks.len() == desired as usize {
-            // Just the desired ones: this is asked after each order and end of a run with thousands of tasks.
+            // Exactly the desired tasks exist. Return early, because this runs after every start order and every end
+            // of jobs with thousands of tasks.
             return;
         }
         for index in 0..desired {
@@ -150,7 +155,7 @@
         }
     }
 
-    /// Instances that are not about to be replaced by a successor.
+    /// Number of tasks that are not being replaced.
     fn retained_count(&self) -> u32 {
         (self.tasks.len() - self.replacements.len()) as u32
     }
@@ -166,7 +171,7 @@
         }
     }
 
-    /// Takes in where an attempt was found. Returns false when it is an older attempt than the known one.
+    /// Records the reported phase of an attempt. Returns false if a newer attempt is known or the task has finished.
     pub(crate) fn observe_attempt(&mut self, index: u32, attempt: Attempt, phase: Phase, now: Instant) -> bool {
         if !self.tasks.contains_key(&index) {
             self.add_task(index, Phase::Unknown, now);
@@ -175,7 +180,7 @@
         if attempt < task.attempt || task.phase == Phase::Finished {
             return false;
         }
-        // A stop that was asked for stays asked for, whatever an older report says.
+        // A report made before the stop request must not undo it.
         let stopping = attempt == task.attempt && matches!(task.phase, Phase::Stopping { .. });
         let same_run = attempt == task.attempt && matches!(task.phase, Phase::Running { .. });
         task.attempt = attempt;
@@ -187,7 +192,7 @@
         true
     }
 
-    /// Takes in that the latest attempt at a task has surely ended. Tells whether the workload got parked.
+    /// Records that the latest attempt at a task has ended, and returns whether this parks the workload.
     pub(crate) fn record_end(
         &mut self,
         index: u32,
@@ -226,17 +231,18 @@
         parked
     }
 
-    /// Takes in that the worker of a task is gone. Tells whether the workload got parked.
+    /// Records the loss of the worker that ran a task, and returns whether this parks the workload. Only a task that
+    /// had recently started is blamed.
     pub(crate) fn record_worker_loss(&mut self, index: u32, worker: &str, now: Instant, worker_count: usize) -> bool {
-        let new = match self.tasks.get(&index).map(|task| &task.phase) {
+        let recently_started = match self.tasks.get(&index).map(|task| &task.phase) {
             Some(Phase::Starting { .. }) => true,
             Some(Phase::Running { since, .. }) => now.duration_since(*since) < HEALTHY_AFTER,
             _ => false,
         };
-        new && self.failures.record_worker_loss(worker, worker_count, now)
+        recently_started && self.failures.record_worker_loss(worker, worker_count, now)
     }
 
-    /// Drops the task when it is surplus or has been replaced by its successor.
+    /// Removes a task that is surplus or whose replacement runs.
     fn after_end(&mut self, index: u32, now: Instant) {
         let live = self.tasks.get(&index).is_some_and(Task::may_be_live);
         if self.replacements.contains_key(&index) && !live {
@@ -245,12 +251,12 @@
         self.resize(Phase::Waiting, now);
     }
 
-    /// Whether tasks may be started now.
+    /// Whether the failures of the workload allow a start at `now`.
     pub fn retry_state(&self, now: Instant) -> RetryState {
         self.failures.retry_state(now)
     }
 
-    /// Positions to start now: any that wait, but for a gang only all unfinished ones together.
+    /// Indexes of the tasks to start now: all waiting ones, but for a gang none unless all its unfinished tasks wait.
     pub fn startable(&self) -> Vec<u32> {
         if self.workload().kind != Kind::Gang {
             return self.waiting.iter().copied().collect();
@@ -262,17 +268,17 @@
         self.waiting.iter().copied().collect()
     }
 
-    /// Attempts that should end: of cancelled or surplus tasks, of instances whose successor runs, and of
-    /// gangs that have lost a member.
+    /// Attempts to stop: those of cancelled or surplus tasks, of instances whose replacement runs or is overdue, and
+    /// of a gang that has lost a member.
     pub(crate) fn attempts_to_stop(&self, now: Instant) -> Vec<StopOrder> {
         let mut orders: BTreeMap<u32, StopOrder> = BTreeMap::new();
         for index in self.surplus() {
             orders.extend(self.stop_order(index).map(|order| (index, order)));
         }
-        for (old, (new, since)) in &self.replacements {
-            let successor = self.tasks.get(new).map(|task| &task.phase);
-            let succeeded = matches!(successor, Some(Phase::Running { .. }));
-            if succeeded || now.duration_since(*since) >= REPLACEMENT_TIMEOUT {
+        for (old, (replacement, since)) in &self.replacements {
+            let phase = self.tasks.get(replacement).map(|task| &task.phase);
+            let replaced = matches!(phase, Some(Phase::Running { .. }));
+            if replaced || now.duration_since(*since) >= REPLACEMENT_TIMEOUT {
                 orders.extend(self.stop_order(*old).map(|order| (*old, order)));
             }
         }
@@ -292,16 +298,16 @@
         if self.workload().kind != Kind::Service {
             return self.tasks.range(desired..).map(|(index, _)| *index).collect();
         }
-        let over = self.retained_count().saturating_sub(desired) as usize;
+        let surplus_count = self.retained_count().saturating_sub(desired) as usize;
         let retained = self.tasks.keys().rev().filter(|index| !self.replacements.contains_key(index));
-        retained.take(over).copied().collect()
+        retained.take(surplus_count).copied().collect()
     }
 
     fn gang_is_incomplete(&self) -> bool {
         if self.workload().kind != Kind::Gang || self.waiting.is_empty() {
             return false;
         }
-        // While the gang is being ordered, no member waits; afterwards a waiting one has been lost.
+        // All members are ordered together, so a member that waits while others run has lost its attempt.
         self.tasks.values().any(|task| matches!(task.phase, Phase::Running { .. } | Phase::Starting { .. }))
     }
 
@@ -315,35 +321,37 @@
         }
     }
 
-    /// Empties a leaving worker: instances get a successor first, other tasks are stopped and wait again.
+    /// Moves tasks off a leaving worker. For service instances it adds replacements and stops nothing yet; for other
+    /// tasks it returns stop orders, and they wait for a new start once they have stopped.
     pub(crate) fn evacuate(&mut self, worker: &WorkerId, now: Instant) -> Vec<StopOrder> {
-        let there: Vec<u32> = self
+        let on_worker: Vec<u32> = self
             .tasks
             .iter()
             .filter(|(_, task)| matches!(&task.phase, Phase::Running { worker: on, .. } if on == worker))
             .map(|(index, _)| *index)
             .collect();
         if self.workload().kind != Kind::Service {
-            return there.into_iter().filter_map(|index| self.stop_order(index)).collect();
+            return on_worker.into_iter().filter_map(|index| self.stop_order(index)).collect();
         }
-        for index in there {
+        for index in on_worker {
             if self.replacements.contains_key(&index) || self.retained_count() > self.desired_count() {
                 continue;
             }
-            let successor = self.tasks.keys().next_back().map_or(0, |last| last + 1);
-            self.replacements.insert(index, (successor, now));
-            self.add_task(successor, Phase::Waiting, now);
+            let replacement = self.tasks.keys().next_back().map_or(0, |last| last + 1);
+            self.replacements.insert(index, (replacement, now));
+            self.add_task(replacement, Phase::Waiting, now);
         }
         Vec::new()
     }
 
-    /// Whether nothing lives and nothing is left to run.
+    /// Whether all tasks have finished and nothing is left to run.
     pub fn is_complete(&self) -> bool {
         let done = self.tasks.values().all(|task| task.phase == Phase::Finished);
         done && (self.cancelled() || self.workload().kind != Kind::Service)
     }
 
-    /// Whether it has been over for so long. Looks at the clock, so it must be asked from time to time.
+    /// Whether the job has been complete for at least `keep`. The period starts at the first call that finds it
+    /// complete, so this must be called regularly.
     pub(crate) fn is_expired(&mut self, keep: std::time::Duration, now: Instant) -> bool {
         if !self.is_complete() {
             self.complete_since = None;
@@ -353,13 +361,13 @@
         now.duration_since(since) >= keep
     }
 
-    /// Which tasks have finished.
+    /// The finished tasks, in the form that is stored.
     pub fn progress(&self) -> Progress {
         let finished = self.tasks.iter().filter(|(_, task)| task.phase == Phase::Finished);
         Progress::new(self.versioned.record.life, finished.map(|(index, _)| *index))
     }
 
-    /// Why the task at a position stands where it stands.
+    /// The reason for the current phase of a task, as shown to operators.
     pub fn reason(&self, index: u32, now: Instant) -> Reason {
         let Some(task) = self.tasks.get(&index) else { return Reason::NotLookedAt };
         match &task.phase {
--- a/components/jobs/src/lib.rs
+++ b/components/jobs/src/lib.rs
@@ -1,8 +1,9 @@
-//! The tasks of one partition, as its owner follows them: which wait, which run where, which have ended, and
-//! what must be started, stopped or acknowledged next.
+//! Tracks the tasks of one partition for the entry host that owns it: which tasks wait, where the others run,
+//! and which attempts to start, stop or acknowledge next.
 //!
-//! Pure: records, facts and time go in; orders and reasons come out. A next attempt is numbered only when the
-//! last one has surely ended.
+//! This package does no I/O and never reads the clock. Callers pass in records, task facts and the current time,
+//! and get start orders, stop orders and reasons back. A new attempt at a task is created only once the previous
+//! attempt is known to have ended.
 
 mod failures;
 mod job;
--- a/components/jobs/src/task.rs
+++ b/components/jobs/src/task.rs
@@ -1,4 +1,4 @@
-//! One task and where it stands.
+//! A task and its current phase.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -6,53 +6,53 @@
 use model::task::Attempt;
 use model::{Reason, WorkerId};
 
-/// Where a task stands.
+/// The phase of a task, as known to the partition owner.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Phase {
-    /// It may have been started by an earlier owner: nothing is known yet.
+    /// A previous owner may have started the task; no worker has reported on it yet.
     Unknown,
-    /// It has surely no running attempt.
+    /// No attempt is running, and the task can be started.
     Waiting,
-    /// An attempt was ordered; whether it was committed is not known yet.
+    /// A start order was sent, and the worker's holder has not answered yet.
     Ordered {
-        /// Where.
+        /// The worker chosen for the attempt.
         worker: WorkerId,
         /// When the order was last sent.
         sent_at: Instant,
     },
-    /// The worker's holder has committed the attempt.
+    /// The worker's holder has committed capacity for the attempt.
     Starting {
-        /// Where.
+        /// The worker that starts the attempt.
         worker: WorkerId,
     },
-    /// It runs.
+    /// The attempt is running.
     Running {
-        /// Where.
+        /// The worker that runs the attempt.
         worker: WorkerId,
-        /// Since when, as seen here.
+        /// When this owner first saw it running.
         since: Instant,
-        /// Where a service instance answers.
+        /// The address of a service instance.
         address: Option<SocketAddr>,
     },
-    /// It was told to stop.
+    /// The attempt was asked to stop.
     Stopping {
-        /// Where.
+        /// The worker that runs the attempt.
         worker: WorkerId,
     },
-    /// It ran to its end.
+    /// An attempt completed successfully.
     Finished,
 }
 
-/// A task of a workload's share.
+/// A task of a job.
 #[derive(Clone, Debug)]
 pub struct Task {
-    /// Where it stands.
+    /// Its current phase.
     pub phase: Phase,
     /// Its latest attempt; zero before the first.
     pub attempt: Attempt,
-    /// Since when it has waited for a start.
+    /// When it last began to wait for a start.
     pub waiting_since: Instant,
-    /// Why it waits, while it does.
+    /// Why it waits; meaningful only in the phases `Unknown` and `Waiting`.
     pub reason: Reason,
 }
 
@@ -61,7 +61,7 @@
         Task { phase, attempt: Attempt::default(), waiting_since: now, reason: Reason::NotLookedAt }
     }
 
-    /// The worker that has, or may have, its latest attempt.
+    /// The worker that has, or may have, the latest attempt.
     pub fn worker(&self) -> Option<&WorkerId> {
         match &self.phase {
             Phase::Ordered { worker, .. }
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Whether an attempt may be alive.
+    /// Whether an attempt may still be running.
     pub fn may_be_live(&self) -> bool {
         !matches!(self.phase, Phase::Waiting | Phase::Finished)
     }
--- a/components/jobs/src/tracker.rs
+++ b/components/jobs/src/tracker.rs
@@ -1,4 +1,4 @@
-//! All shares of one partition under one claim.
+//! The jobs of one partition, tracked by its owner for the duration of one claim.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -12,24 +12,24 @@
 use crate::job::Job;
 use crate::task::{Phase, Task};
 
-/// An order whose answer was lost is sent again after so long.
+/// Delay after which an unanswered start order is sent again.
 const ORDER_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Work that waits and may start now.
+/// A job with tasks that wait and may be started now.
 #[derive(Clone, Debug)]
 pub struct PendingJob {
-    /// Its workload.
+    /// The workload that the job belongs to.
     pub workload: WorkloadId,
-    /// Positions to start; for a gang all or none.
+    /// Indexes of the tasks to start. The tasks of a gang must be started all or none.
     pub positions: Vec<u32>,
-    /// Since when the longest-waiting one waits.
+    /// Since when the longest-waiting of these tasks has waited.
     pub since: Instant,
 }
 
-/// Something worth a log line or a metric.
+/// A change that the caller may log or count in a metric.
 #[derive(Clone, Debug, PartialEq)]
 pub enum JobEvent {
-    /// A task began to run after this wait.
+    /// A task started to run, after waiting for the given time.
     Started(Id, Duration),
     /// An attempt ended.
     Ended(Id, Attempt, End),
@@ -37,25 +37,25 @@
     Parked(WorkloadId, Reason),
 }
 
-/// The shares of one partition, as its owner follows them.
+/// The jobs of one partition and everything its owner must send, store or acknowledge for them.
 #[derive(Debug)]
 pub struct JobTracker {
     epoch: Epoch,
     data_centre: DataCentreId,
     jobs: BTreeMap<WorkloadId, Job>,
     last_attempt_number: u32,
-    /// Whether every worker that an earlier owner may have used is accounted for.
+    /// Whether the attempts of previous owners are all known.
     recovered: bool,
     acknowledgements: Vec<StopOrder>,
     orphans: BTreeMap<(Id, Attempt), StopOrder>,
-    /// Ends that wait until the platform has them.
+    /// Finished attempts that the platform has not stored yet, and that must not be acknowledged before.
     unpersisted_ends: BTreeMap<WorkloadId, Vec<StopOrder>>,
     events: Vec<JobEvent>,
     worker_count: usize,
 }
 
 impl JobTracker {
-    /// Opens the tracker of a partition that was just claimed with `epoch`.
+    /// Creates the tracker of a partition that was just claimed with `epoch`.
     pub fn new(epoch: Epoch, data_centre: DataCentreId) -> JobTracker {
         JobTracker {
             epoch,
@@ -71,24 +71,32 @@
         }
     }
 
-    /// Epoch of the claim.
+    /// The epoch of the claim.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// The shares, by name.
+    /// The jobs by workload name.
     pub fn jobs(&self) -> &BTreeMap<WorkloadId, Job> {
         &self.jobs
     }
 
-    /// States how many workers the data centre has.
+    /// Sets the number of workers in the data centre.
     pub fn set_worker_count(&mut self, count: usize) {
         self.worker_count = count;
     }
 
-    /// Follows a record. `fresh` states that no earlier owner can have started its tasks: it was accepted
-    /// after this claim.
-    pub fn apply(&mut self, versioned: Versioned, progress: Option<&Progress>, fresh: bool, now: Instant) {
+    /// Applies a workload record, unless its revision is not newer than the known one.
+    ///
+    /// `accepted_after_claim` means that no previous owner can have started tasks of the workload, so they may be
+    /// started before the recovery is finished.
+    pub fn apply(
+        &mut self,
+        versioned: Versioned,
+        progress: Option<&Progress>,
+        accepted_after_claim: bool,
+        now: Instant,
+    ) {
         let name = versioned.record.workload.name.clone();
         let known = self.jobs.get(&name).map(|job| (job.versioned.revision, job.versioned.record.life));
         if known.is_some_and(|(revision, _)| revision >= versioned.revision) {
@@ -104,16 +112,16 @@
             self.jobs.insert(name.clone(), job);
         } else if let Some(job) = self.jobs.get_mut(&name) {
             job.versioned = versioned;
-            // An operator's change is a new chance for a workload that failed.
+            // A change by an operator unparks a workload that failed.
             job.failures.record_success();
         }
-        let phase = if fresh || self.recovered { Phase::Waiting } else { Phase::Unknown };
+        let phase = if accepted_after_claim || self.recovered { Phase::Waiting } else { Phase::Unknown };
         if let Some(job) = self.jobs.get_mut(&name) {
             job.resize(phase, now);
         }
     }
 
-    /// Forgets a workload whose record was removed; attempts that still live are stopped as orphans.
+    /// Removes a workload whose record was removed. Attempts that may still be running become orphans.
     pub fn remove_workload(&mut self, workload: &str) {
         let Some(job) = self.jobs.remove(workload) else { return };
         self.unpersisted_ends.remove(workload);
@@ -124,7 +132,7 @@
         }
     }
 
-    /// Takes in what the holder of a worker says of an attempt.
+    /// Processes a fact about an attempt, published by the holder of its worker.
     pub fn observe(&mut self, task: &Id, attempt: Attempt, fact: &TaskFact, on_probation: bool, now: Instant) {
         let order = StopOrder { worker: fact.worker.clone(), task: task.clone(), attempt };
         let known = self.jobs.get_mut(&task.workload).filter(|job| job.versioned.record.life == task.life);
@@ -138,8 +146,8 @@
             TaskState::Starting => Self::observe_live(job, &mut self.orphans, order, Phase::Starting { worker }, now),
             TaskState::Stopping => Self::observe_live(job, &mut self.orphans, order, Phase::Stopping { worker }, now),
             TaskState::Running(address) => {
-                let waited = job.tasks.get(&task.index).filter(|known| is_starting(known, attempt));
-                let waited = waited.map(|known| now.duration_since(known.waiting_since));
+                let started = job.tasks.get(&task.index).filter(|known| is_starting(known, attempt));
+                let waited = started.map(|known| now.duration_since(known.waiting_since));
                 let phase = Phase::Running { worker, since: now, address: *address };
                 Self::observe_live(job, &mut self.orphans, order, phase, now);
                 self.events.extend(waited.map(|waited| JobEvent::Started(task.clone(), waited)));
@@ -176,24 +184,24 @@
         let task = job.tasks.get(&index);
         let finished = task.is_some_and(|task| task.phase == Phase::Finished && task.attempt == order.attempt);
         if finished {
-            // Its end is on its way to the platform; acknowledged when it is there.
-            let waits = self.unpersisted_ends.get(&order.task.workload).is_some_and(|ends| ends.contains(&order));
-            if !waits {
+            // Acknowledge it only once the platform has stored the end.
+            let unpersisted = self.unpersisted_ends.get(&order.task.workload).is_some_and(|ends| ends.contains(&order));
+            if !unpersisted {
                 self.acknowledgements.push(order);
             }
             return;
         }
         let current = task.map_or(Attempt::default(), |task| task.attempt);
-        let unseen = order.attempt > current;
+        let is_newer = order.attempt > current;
         let live = task.is_none_or(|task| task.may_be_live());
-        if order.attempt < current || (!unseen && !live) {
+        if order.attempt < current || (!is_newer && !live) {
             self.acknowledgements.push(order);
             return;
         }
-        if unseen {
+        if is_newer {
             job.observe_attempt(index, order.attempt, Phase::Starting { worker: order.worker.clone() }, now);
         }
-        // It went with an earlier life of its worker, which is back: it may be what took that one down.
+        // The worker restarted while it ran this attempt, which may have been the cause.
         let restarted = *end == End::Restarted && job.record_worker_loss(index, &order.worker, now, self.worker_count);
         let parked = job.record_end(index, end, on_probation, self.worker_count, now) || restarted;
         if parked {
@@ -208,8 +216,8 @@
         }
     }
 
-    /// Takes in that the holder of the worker, which has the worker's whole inventory, does not know the
-    /// latest attempt at a task: it has surely ended.
+    /// Records that an attempt no longer exists, because the worker's holder has the worker's complete inventory and
+    /// does not list it.
     pub fn mark_lost(&mut self, task: &Id, attempt: Attempt, now: Instant) {
         let Some(job) = self.jobs.get_mut(&task.workload) else { return };
         let current = job.tasks.get(&task.index).is_some_and(|known| known.attempt == attempt && known.may_be_live());
@@ -220,22 +228,23 @@
         self.orphans.remove(&(task.clone(), attempt));
     }
 
-    /// Takes in that a worker is gone for good, and that every lease on it has lapsed.
+    /// Records that a worker is permanently lost_attempts and that all leases on it have expired.
     pub fn mark_worker_lost(&mut self, worker: &str, now: Instant) {
-        let mut gone: Vec<(Id, Attempt)> = Vec::new();
+        let mut lost_attempts: Vec<(Id, Attempt)> = Vec::new();
         for job in self.jobs.values() {
-            let there = job.tasks.iter().filter(|(_, task)| task.worker().is_some_and(|on| on == worker));
-            gone.extend(there.map(|(index, task)| (job.id(*index), task.attempt)));
+            let on_worker =
+                job.tasks.iter().filter(|(_, task)| task.worker().is_some_and(|task_worker| task_worker == worker));
+            lost_attempts.extend(on_worker.map(|(index, task)| (job.id(*index), task.attempt)));
         }
-        for (task, attempt) in gone {
+        for (task, attempt) in lost_attempts {
             self.record_worker_loss(&task, worker, now);
             self.mark_lost(&task, attempt, now);
         }
         self.orphans.retain(|_, order| order.worker != worker);
     }
 
-    /// Holds the end of a worker against a task that had just begun there: it may be what took the worker down, and nobody else would ever
-    /// report that.
+    /// Counts the loss of a worker as a failure of a task that had recently started on_worker. The task may have crashed
+    /// the worker, and then nothing else reports the failure.
     fn record_worker_loss(&mut self, task: &Id, worker: &str, now: Instant) {
         let Some(job) = self.jobs.get_mut(&task.workload) else { return };
         if job.record_worker_loss(task.index, worker, now, self.worker_count) {
@@ -243,8 +252,8 @@
         }
     }
 
-    /// States that every worker that an earlier owner may have used is accounted for: what was not found
-    /// surely does not run.
+    /// Ends the recovery: every worker that a previous owner may have used has been accounted for, so tasks of which
+    /// no attempt was found are not running and may be started.
     pub fn finish_recovery(&mut self, now: Instant) {
         if std::mem::replace(&mut self.recovered, true) {
             return;
@@ -259,12 +268,12 @@
         }
     }
 
-    /// Whether [`JobTracker::finish_recovery`] was stated.
+    /// Whether [`JobTracker::finish_recovery`] has been called.
     pub fn is_recovered(&self) -> bool {
         self.recovered
     }
 
-    /// States what the recovery waits for, as the reason of all tasks that are not known yet.
+    /// Sets what the recovery unpersisted for as the reason of all tasks in [`Phase::Unknown`].
     pub fn set_recovery_reason(&mut self, waiting_for: &str) {
         for job in self.jobs.values_mut() {
             for task in job.tasks.values_mut().filter(|task| task.phase == Phase::Unknown) {
@@ -273,7 +282,7 @@
         }
     }
 
-    /// Work that may start now, in the order of the names.
+    /// Jobs with tasks that may be started now, ordered by workload name.
     pub fn pending_jobs(&self, now: Instant) -> Vec<PendingJob> {
         let mut pending_jobs = Vec::new();
         for (name, job) in &self.jobs {
@@ -288,7 +297,8 @@
         pending_jobs
     }
 
-    /// Numbers the next attempt at a waiting task and makes the order for it; `None` when it may not start.
+    /// Creates the next attempt at a waiting task and returns the start order for it. Returns `None` if the task does
+    /// not wait or the workload is cancelled.
     pub fn create_start_order(
         &mut self,
         workload: &str,
@@ -309,7 +319,7 @@
         Some(build_start_order(job, index, worker, attempt))
     }
 
-    /// Orders whose answer is overdue, to be sent again just as they were.
+    /// Start orders whose answer is overdue. They are to be sent again unchanged, under the same attempt number.
     pub fn overdue_orders(&mut self, now: Instant) -> Vec<StartOrder> {
         let mut overdue = Vec::new();
         for job in self.jobs.values_mut() {
@@ -328,12 +338,12 @@
         overdue
     }
 
-    /// Takes in that the holder committed an attempt.
+    /// Records that the holder has committed capacity for an ordered attempt.
     pub fn start_committed(&mut self, task: &Id, attempt: Attempt, now: Instant) {
         self.resolve_start_order(task, attempt, |worker| Phase::Starting { worker }, None, now);
     }
 
-    /// Takes in that an ordered attempt surely was not started, with the reason.
+    /// Records that an ordered attempt was not and will not be started.
     pub fn start_refused(&mut self, task: &Id, attempt: Attempt, reason: Reason, now: Instant) {
         self.resolve_start_order(task, attempt, |_| Phase::Waiting, Some(reason), now);
     }
@@ -358,14 +368,14 @@
             known.reason = reason;
         }
         job.set_phase(task.index, phase, now);
-        // A refused order is no new wait.
+        // A refused start order does not reset the waiting time.
         if let Some(known) = job.tasks.get_mut(&task.index) {
             known.waiting_since = since;
         }
         job.resize(Phase::Waiting, now);
     }
 
-    /// States why the waiting tasks of a workload wait.
+    /// Sets the reason of all waiting tasks of a workload.
     pub fn set_waiting_reason(&mut self, workload: &str, reason: &Reason) {
         let Some(job) = self.jobs.get_mut(workload) else { return };
         let waiting: Vec<u32> = job.waiting().iter().copied().collect();
@@ -378,13 +388,13 @@
         }
     }
 
-    /// Attempts that live without a place in this tracker: of workloads that are not known, or older than the
-    /// latest one. They should end, once it is certain that the tracker is not behind.
+    /// Attempts that may be running but don't belong to any task here: their workload is unknown, or the task has a
+    /// newer attempt. The caller should stop them once it is certain that this tracker has the current records.
     pub fn orphans(&self) -> impl Iterator<Item = &StopOrder> + '_ {
         self.orphans.values()
     }
 
-    /// Attempts to stop, again and again until they have ended.
+    /// Attempts to stop. Each is returned on every call until it has ended.
     pub fn stop_orders(&mut self, now: Instant) -> Vec<StopOrder> {
         let mut orders: Vec<StopOrder> = Vec::new();
         for job in self.jobs.values_mut() {
@@ -397,22 +407,23 @@
         orders
     }
 
-    /// Empties leaving workers.
+    /// Moves all tasks off a leaving worker and returns the attempts to stop now.
     pub fn evacuate(&mut self, worker: &WorkerId, now: Instant) -> Vec<StopOrder> {
         self.jobs.values_mut().flat_map(|job| job.evacuate(worker, now)).collect()
     }
 
-    /// Ended attempts that their workers may forget; handed out once.
+    /// Takes the ended attempts that their workers may forget.
     pub fn take_acknowledgements(&mut self) -> Vec<StopOrder> {
         std::mem::take(&mut self.acknowledgements)
     }
 
-    /// What is worth a log line; handed out once.
+    /// Takes the events since the last call.
     pub fn take_events(&mut self) -> Vec<JobEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Finished tasks that the platform does not have yet: what to write, and the ends that it covers.
+    /// For each workload with ends that the platform has not stored: the progress to write, and the finished attempts
+    /// that it covers.
     pub fn unpersisted_ends(&self) -> Vec<(WorkloadId, Progress, Vec<StopOrder>)> {
         let mut writes = Vec::new();
         for (name, ends) in &self.unpersisted_ends {
@@ -422,7 +433,7 @@
         writes
     }
 
-    /// Takes in that the platform has the ends of these attempts.
+    /// Records that the platform has stored the ends of these attempts, which may now be acknowledged.
     pub fn mark_persisted(&mut self, workload: &str, ends: &[StopOrder]) {
         let Some(waiting) = self.unpersisted_ends.get_mut(workload) else { return };
         waiting.retain(|order| !ends.contains(order));
@@ -432,8 +443,8 @@
         self.acknowledgements.extend_from_slice(ends);
     }
 
-    /// Workloads that have been over for so long, and whose ends are stored_progress, with the revisions of their
-    /// records: the records may be removed.
+    /// Workloads whose records may be removed, with the revisions of those records: they have been complete for at
+    /// least `keep`, and all their ends are stored.
     pub fn expired_workloads(&mut self, keep: Duration, now: Instant) -> Vec<(WorkloadId, Revision)> {
         let mut expired = Vec::new();
         for (name, job) in &mut self.jobs {
@@ -444,17 +455,18 @@
         expired
     }
 
-    /// Workers that have, or may have, an attempt of this partition.
+    /// Workers that run, or may run, an attempt of this partition.
     pub fn workers_in_use(&self) -> BTreeSet<WorkerId> {
         self.jobs.values().flat_map(|job| job.tasks.values().filter_map(|task| task.worker().cloned())).collect()
     }
 
-    /// Attempts that may live on a worker, with their names, for a comparison with its holder's facts.
+    /// Attempts that may be running on a worker, to be compared with the facts of its holder. Attempts whose start
+    /// order is unanswered are left out, because the holder need not know them yet.
     pub fn possibly_live_attempts(&self) -> impl Iterator<Item = (Id, Attempt, &WorkerId)> + '_ {
         self.jobs.values().flat_map(|job| {
             job.tasks.iter().filter_map(|(index, task)| {
-                let settled = !matches!(task.phase, Phase::Ordered { .. });
-                task.worker().filter(|_| settled).map(|worker| (job.id(*index), task.attempt, worker))
+                let answered = !matches!(task.phase, Phase::Ordered { .. });
+                task.worker().filter(|_| answered).map(|worker| (job.id(*index), task.attempt, worker))
             })
         })
     }
--- a/components/jobs/tests/book.rs
+++ b/components/jobs/tests/book.rs
@@ -1,4 +1,4 @@
-//! The owner's tracker: what may start, what must stop, what is durable before it is forgotten.
+//! Tests of `JobTracker`: starts, stops, recovery, acknowledgement of stored ends, and parking.
 
 mod support;
 
@@ -23,18 +23,18 @@
 }
 
 fn start(tracker: &mut JobTracker, index: u32, worker: &str, now: Instant) -> (Id, Attempt) {
-    let order = tracker.create_start_order("plan", index, &worker.to_owned(), now).expect("it waits");
+    let order = tracker.create_start_order("plan", index, &worker.to_owned(), now).expect("the task waits");
     tracker.start_committed(&order.task, order.attempt, now);
     (order.task, order.attempt)
 }
 
-fn see(tracker: &mut JobTracker, (task, attempt): &(Id, Attempt), worker: &str, state: TaskState, now: Instant) {
+fn observe(tracker: &mut JobTracker, (task, attempt): &(Id, Attempt), worker: &str, state: TaskState, now: Instant) {
     tracker.observe(task, *attempt, &fact(worker, state), false, now);
 }
 
-fn fail(tracker: &mut JobTracker, started: &(Id, Attempt), worker: &str, now: Instant) {
+fn report_failure(tracker: &mut JobTracker, started: &(Id, Attempt), worker: &str, now: Instant) {
     let end = End::Failed { message: "exit status 1".to_owned() };
-    see(tracker, started, worker, TaskState::Ended(end), now);
+    observe(tracker, started, worker, TaskState::Ended(end), now);
 }
 
 fn phase(tracker: &JobTracker, index: u32) -> &Phase {
@@ -42,20 +42,20 @@
 }
 
 #[test]
-fn a_task_is_ordered_once_and_again_only_after_its_end() {
+fn a_task_gets_a_new_attempt_only_after_the_previous_one_ended() {
     let now = Instant::now();
     let mut tracker = tracker(now, Kind::Batch, 1);
     let first = start(&mut tracker, 0, "w1", now);
     assert!(tracker.create_start_order("plan", 0, &"w2".to_owned(), now).is_none());
-    see(&mut tracker, &first, "w1", TaskState::Running(None), now);
+    observe(&mut tracker, &first, "w1", TaskState::Running(None), now);
     assert!(tracker.create_start_order("plan", 0, &"w2".to_owned(), now).is_none());
-    see(&mut tracker, &first, "w1", TaskState::Ended(End::Lost), now);
+    observe(&mut tracker, &first, "w1", TaskState::Ended(End::Lost), now);
     let second = tracker.create_start_order("plan", 0, &"w2".to_owned(), now).unwrap();
     assert!(second.attempt > first.1);
 }
 
 #[test]
-fn an_order_without_an_answer_is_repeated_just_as_it_was() {
+fn an_unanswered_start_order_is_resent_unchanged() {
     let now = Instant::now();
     let mut tracker = tracker(now, Kind::Batch, 1);
     let order = tracker.create_start_order("plan", 0, &"w1".to_owned(), now).unwrap();
@@ -66,25 +66,25 @@
 }
 
 #[test]
-fn what_an_earlier_owner_may_have_started_waits_until_all_workers_are_accounted_for() {
+fn tasks_that_a_previous_owner_may_have_started_wait_until_recovery_finishes() {
     let now = Instant::now();
     let mut tracker = JobTracker::new(5, "gt-1".to_owned());
     tracker.apply(versioned("plan", Kind::Batch, 2, 1), None, false, now);
     assert!(tracker.pending_jobs(now).is_empty());
     let found = (tracker.jobs()["plan"].id(1), Attempt { epoch: 4, number: 9 });
-    see(&mut tracker, &found, "w1", TaskState::Running(None), now);
+    observe(&mut tracker, &found, "w1", TaskState::Running(None), now);
     tracker.finish_recovery(now);
     assert_eq!(tracker.pending_jobs(now)[0].positions, [0]);
     assert!(matches!(phase(&tracker, 1), Phase::Running { .. }));
 }
 
 #[test]
-fn a_finish_is_acknowledged_only_when_it_is_durable() {
+fn a_finished_attempt_is_acknowledged_only_once_it_is_stored() {
     let now = Instant::now();
     let mut tracker = tracker(now, Kind::Batch, 2);
     let started = start(&mut tracker, 1, "w1", now);
-    see(&mut tracker, &started, "w1", TaskState::Ended(End::Finished), now);
-    see(&mut tracker, &started, "w1", TaskState::Ended(End::Finished), now);
+    observe(&mut tracker, &started, "w1", TaskState::Ended(End::Finished), now);
+    observe(&mut tracker, &started, "w1", TaskState::Ended(End::Finished), now);
     assert!(tracker.take_acknowledgements().is_empty());
     let (name, progress, ends) = tracker.unpersisted_ends().remove(0);
     assert_eq!(progress, Progress { life: 1, finished: vec![(1, 1)] });
@@ -104,24 +104,24 @@
 }
 
 #[test]
-fn a_gang_waits_whole_and_loses_all_with_one() {
+fn a_gang_starts_as_a_whole_and_stops_when_it_loses_a_member() {
     let now = Instant::now();
     let mut tracker = tracker(now, Kind::Gang, 3);
     assert_eq!(tracker.pending_jobs(now)[0].positions, [0, 1, 2]);
     let started: Vec<_> = (0..3).map(|index| start(&mut tracker, index, "w1", now)).collect();
-    for one in &started {
-        see(&mut tracker, one, "w1", TaskState::Running(None), now);
+    for attempt in &started {
+        observe(&mut tracker, attempt, "w1", TaskState::Running(None), now);
     }
-    see(&mut tracker, &started[1], "w1", TaskState::Ended(End::Lost), now);
-    assert!(tracker.pending_jobs(now).is_empty(), "not alone");
+    observe(&mut tracker, &started[1], "w1", TaskState::Ended(End::Lost), now);
+    assert!(tracker.pending_jobs(now).is_empty(), "the lost member alone must not start");
     assert_eq!(tracker.stop_orders(now).len(), 2);
-    see(&mut tracker, &started[0], "w1", TaskState::Ended(End::Stopped), now);
-    see(&mut tracker, &started[2], "w1", TaskState::Ended(End::Stopped), now);
+    observe(&mut tracker, &started[0], "w1", TaskState::Ended(End::Stopped), now);
+    observe(&mut tracker, &started[2], "w1", TaskState::Ended(End::Stopped), now);
     assert_eq!(tracker.pending_jobs(now)[0].positions, [0, 1, 2]);
 }
 
 #[test]
-fn cancelled_work_is_stopped_and_never_started() {
+fn cancelled_tasks_are_stopped_and_never_started() {
     let now = Instant::now();
     let mut tracker = tracker(now, Kind::Batch, 3);
     let started = start(&mut tracker, 0, "w1", now);
@@ -131,7 +131,7 @@
     assert!(tracker.pending_jobs(now).is_empty());
     assert!(tracker.create_start_order("plan", 1, &"w1".to_owned(), now).is_none());
     assert_eq!(tracker.stop_orders(now)[0].attempt, started.1);
-    see(&mut tracker, &started, "w1", TaskState::Ended(End::Stopped), now);
+    observe(&mut tracker, &started, "w1", TaskState::Ended(End::Stopped), now);
     assert!(tracker.jobs()["plan"].is_complete());
 }
 
@@ -145,14 +145,14 @@
 }
 
 #[test]
-fn a_workload_that_fails_on_every_worker_is_parked_and_a_change_gives_it_a_new_chance() {
+fn a_workload_that_fails_on_every_worker_is_parked_until_it_is_changed() {
     let mut now = Instant::now();
     let mut tracker = tracker(now, Kind::Batch, 1);
     for round in 0..jobs::PARK_AFTER {
         let worker = format!("w{}", round % 3);
         let started = start(&mut tracker, 0, &worker, now);
-        fail(&mut tracker, &started, &worker, now);
-        assert!(tracker.pending_jobs(now).is_empty(), "it pauses after a failure");
+        report_failure(&mut tracker, &started, &worker, now);
+        assert!(tracker.pending_jobs(now).is_empty(), "the workload backs off after a failure");
         now += Duration::from_secs(301);
     }
     assert!(tracker.pending_jobs(now).is_empty());
@@ -177,78 +177,79 @@
 }
 
 #[test]
-fn an_instance_on_a_leaving_worker_gets_its_successor_first() {
+fn an_instance_on_a_leaving_worker_is_stopped_only_after_its_replacement_runs() {
     let now = Instant::now();
     let mut tracker = tracker(now, Kind::Service, 2);
     let started: Vec<_> = (0..2).map(|index| start(&mut tracker, index, "w1", now)).collect();
-    for one in &started {
-        see(&mut tracker, one, "w1", TaskState::Running(None), now);
+    for attempt in &started {
+        observe(&mut tracker, attempt, "w1", TaskState::Running(None), now);
     }
     assert!(tracker.evacuate(&"w1".to_owned(), now).is_empty());
-    assert!(tracker.stop_orders(now).is_empty(), "not before the successors run");
+    assert!(tracker.stop_orders(now).is_empty(), "not before the replacements run");
     let pending = tracker.pending_jobs(now).remove(0);
     assert_eq!(pending.positions, [2, 3]);
-    let successor = start(&mut tracker, 2, "w2", now);
-    see(&mut tracker, &successor, "w2", TaskState::Running(None), now);
+    let replacement = start(&mut tracker, 2, "w2", now);
+    observe(&mut tracker, &replacement, "w2", TaskState::Running(None), now);
     let stops = tracker.stop_orders(now);
     assert_eq!(stops.len(), 1);
-    see(&mut tracker, &(stops[0].task.clone(), stops[0].attempt), "w1", TaskState::Ended(End::Stopped), now);
-    assert_eq!(tracker.jobs()["plan"].tasks.len(), 3, "one moved, one still to move");
+    observe(&mut tracker, &(stops[0].task.clone(), stops[0].attempt), "w1", TaskState::Ended(End::Stopped), now);
+    assert_eq!(tracker.jobs()["plan"].tasks.len(), 3, "one instance has moved, the other has not");
 }
 
 #[test]
-fn a_service_scaled_down_stops_the_surplus_and_only_it() {
+fn scaling_a_service_down_stops_only_the_surplus_instances() {
     let now = Instant::now();
     let mut tracker = tracker(now, Kind::Service, 3);
     for index in 0..3 {
         let started = start(&mut tracker, index, "w1", now);
-        see(&mut tracker, &started, "w1", TaskState::Running(None), now);
+        observe(&mut tracker, &started, "w1", TaskState::Running(None), now);
     }
     tracker.apply(versioned("plan", Kind::Service, 1, 2), None, true, now);
     assert_eq!(tracker.stop_orders(now).len(), 2);
 }
 
 #[test]
-fn attempts_of_an_earlier_life_of_the_name_are_stopped() {
+fn attempts_of_a_previous_workload_with_the_same_name_are_stopped() {
     let now = Instant::now();
     let mut tracker = tracker(now, Kind::Batch, 1);
     let old = start(&mut tracker, 0, "w1", now);
-    let mut again = versioned("plan", Kind::Batch, 1, 2);
-    again.record.life = 2;
-    tracker.apply(again, None, true, now);
-    see(&mut tracker, &old, "w1", TaskState::Running(None), now);
+    let mut recreated = versioned("plan", Kind::Batch, 1, 2);
+    recreated.record.life = 2;
+    tracker.apply(recreated, None, true, now);
+    observe(&mut tracker, &old, "w1", TaskState::Running(None), now);
     let orphans: Vec<Attempt> = tracker.orphans().map(|order| order.attempt).collect();
     assert_eq!(orphans, [old.1]);
-    see(&mut tracker, &old, "w1", TaskState::Ended(End::Stopped), now);
+    observe(&mut tracker, &old, "w1", TaskState::Ended(End::Stopped), now);
     assert_eq!(tracker.take_acknowledgements().len(), 1);
     assert_eq!(tracker.orphans().count(), 0);
 }
 
-/// Each worker that starts the task goes down: nothing reports a failure, and it was ordered again for ever.
+/// Each worker that starts the task goes down, so no failure is ever reported. Without counting these losses the task
+/// would be started again forever.
 #[test]
-fn a_workload_under_which_worker_after_worker_goes_is_parked() {
+fn a_workload_that_repeatedly_loses_its_worker_is_parked() {
     let mut now = Instant::now();
     let mut tracker = tracker(now, Kind::Batch, 1);
-    let mut ordered = 0;
-    for life in 0..20 {
+    let mut start_count = 0;
+    for round in 0..20 {
         now += Duration::from_secs(400);
-        let worker = format!("w{life}");
+        let worker = format!("w{round}");
         if tracker.pending_jobs(now).is_empty() {
             break;
         }
-        let order = tracker.create_start_order("plan", 0, &worker, now).expect("it waits");
-        ordered += 1;
+        let order = tracker.create_start_order("plan", 0, &worker, now).expect("the task waits");
+        start_count += 1;
         tracker.start_committed(&order.task, order.attempt, now);
         tracker.mark_worker_lost(&worker, now + Duration::from_secs(1));
     }
-    assert!(ordered <= 6, "ordered {ordered} times");
-    let parked = |event: &JobEvent| matches!(event, JobEvent::Parked(..));
-    assert!(tracker.take_events().iter().any(parked));
+    assert!(start_count <= 6, "started {start_count} times");
+    let is_parked = |event: &JobEvent| matches!(event, JobEvent::Parked(..));
+    assert!(tracker.take_events().iter().any(is_parked));
 }
 
-/// A rack goes with all that has just begun there: that says no more against a workload than one worker.
+/// Workers lost together, as with a whole rack, count as a single failure of a workload that had just started on them.
 #[test]
-fn workers_that_go_at_once_count_once_against_a_workload() {
+fn workers_lost_together_count_as_one_failure() {
     let now = Instant::now();
     let mut tracker = tracker(now, Kind::Batch, 8);
     for index in 0..8 {
@@ -256,40 +257,41 @@
     }
     (0..8).for_each(|index| tracker.mark_worker_lost(&format!("w{index}"), now + Duration::from_secs(1)));
     assert!(!tracker.take_events().iter().any(|event| matches!(event, JobEvent::Parked(..))));
-    assert!(!tracker.pending_jobs(now + Duration::from_secs(3)).is_empty(), "after a short pause");
+    assert!(!tracker.pending_jobs(now + Duration::from_secs(3)).is_empty(), "the workload is only delayed");
 }
 
-/// What had run for long when its worker went isn't to blame.
+/// A task that ran for a long time before its worker was lost is not to blame.
 #[test]
-fn a_worker_that_goes_under_a_healthy_task_says_nothing_against_it() {
+fn losing_the_worker_of_a_healthy_task_is_not_counted_as_a_failure() {
     let mut now = Instant::now();
     let mut tracker = tracker(now, Kind::Batch, 1);
-    for life in 0..10 {
-        let worker = format!("w{life}");
+    for round in 0..10 {
+        let worker = format!("w{round}");
         let started = start(&mut tracker, 0, &worker, now);
-        see(&mut tracker, &started, &worker, TaskState::Running(None), now);
+        observe(&mut tracker, &started, &worker, TaskState::Running(None), now);
         now += Duration::from_secs(600);
         tracker.mark_worker_lost(&worker, now);
     }
     assert!(!tracker.pending_jobs(now).is_empty());
 }
 
-/// A worker that is back under its name reports that the task went with its earlier life, and goes on: it was ordered again for ever.
+/// Each worker that starts the task restarts and reports the attempt as ended by the restart. Without counting these
+/// ends the task would be started again forever.
 #[test]
-fn a_workload_whose_workers_are_back_each_time_is_parked() {
+fn a_workload_whose_workers_restart_each_time_is_parked() {
     let mut now = Instant::now();
     let mut tracker = tracker(now, Kind::Batch, 1);
-    let mut ordered = 0;
-    for life in 0..20 {
+    let mut start_count = 0;
+    for round in 0..20 {
         now += Duration::from_secs(400);
         if tracker.pending_jobs(now).is_empty() {
             break;
         }
-        let worker = format!("w{}", life % 3);
+        let worker = format!("w{}", round % 3);
         let started = start(&mut tracker, 0, &worker, now);
-        ordered += 1;
-        see(&mut tracker, &started, &worker, TaskState::Ended(End::Restarted), now + Duration::from_secs(1));
+        start_count += 1;
+        observe(&mut tracker, &started, &worker, TaskState::Ended(End::Restarted), now + Duration::from_secs(1));
     }
-    assert!(ordered <= 6, "ordered {ordered} times");
+    assert!(start_count <= 6, "started {start_count} times");
     assert!(tracker.take_events().iter().any(|event| matches!(event, JobEvent::Parked(..))));
 }
--- a/components/jobs/tests/failure.rs
+++ b/components/jobs/tests/failure.rs
@@ -1,4 +1,4 @@
-//! What failures of a workload say of it.
+//! Tests of the backoff after failures of a workload.
 
 use std::time::{Duration, Instant};
 
@@ -6,37 +6,38 @@
 
 const WORKERS: usize = 4;
 
-fn wait(failures: &Failures, now: Instant) -> Duration {
+fn backoff_delay(failures: &Failures, now: Instant) -> Duration {
     match failures.retry_state(now) {
         RetryState::Pause(model::Reason::BackOff { wait, .. }) => wait,
         other => panic!("{other:?}"),
     }
 }
 
-/// Six tasks on a worker that fails everything made a pause of 32 s.
+/// Several tasks that fail together on one broken worker must not lengthen the delay: six of them used to cause a delay
+/// of 32 s.
 #[test]
-fn tasks_that_fail_at_once_make_one_pause() {
+fn tasks_that_fail_together_cause_one_backoff_delay() {
     let mut failures = Failures::default();
     let now = Instant::now();
     for number in 0..6 {
         failures.record_failure("w0", "failed", false, WORKERS, now + Duration::from_millis(number));
     }
-    assert!(wait(&failures, now + Duration::from_millis(5)) <= Duration::from_secs(1));
+    assert!(backoff_delay(&failures, now + Duration::from_millis(5)) <= Duration::from_secs(1));
 }
 
 #[test]
-fn failures_one_after_the_other_make_longer_and_longer_pauses() {
+fn successive_failures_double_the_backoff_delay() {
     let mut failures = Failures::default();
     let mut now = Instant::now();
-    let mut pauses = Vec::new();
+    let mut delays = Vec::new();
     for _ in 0..4 {
         failures.record_failure("w0", "failed", false, WORKERS, now);
-        let pause = wait(&failures, now);
-        pauses.push(pause.as_secs());
-        now += pause;
+        let delay = backoff_delay(&failures, now);
+        delays.push(delay.as_secs());
+        now += delay;
     }
-    assert_eq!(pauses, [1, 2, 4, 8]);
+    assert_eq!(delays, [1, 2, 4, 8]);
     failures.record_success();
     failures.record_failure("w0", "failed", false, WORKERS, now);
-    assert_eq!(wait(&failures, now), Duration::from_secs(1));
+    assert_eq!(backoff_delay(&failures, now), Duration::from_secs(1));
 }
--- a/components/jobs/tests/support/mod.rs
+++ b/components/jobs/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Records for the tests of this package.
+//! Builds workload records for the tests of this package.
 
 use std::collections::BTreeMap;
 use std::time::SystemTime;
@@ -6,7 +6,7 @@
 use model::Resources;
 use model::workload::{Intent, Kind, Priority, Record, Versioned, Workload};
 
-/// A workload of `count` tasks of one core, all in the data centre `gt-1`.
+/// A workload with `count` one-core tasks, all in the data centre `gt-1`.
 pub fn versioned(name: &str, kind: Kind, count: u32, revision: u64) -> Versioned {
     let workload = Workload {
         name: name.to_owned(),
--- a/components/jobs/tests/two_places.rs
+++ b/components/jobs/tests/two_places.rs
@@ -1,4 +1,5 @@
-//! A task never runs in two places at once, whatever is lost, restarted or taken over, in any order.
+//! Property test: a task never runs on two workers at once, for any order of lost messages, worker restarts, takeovers
+//! of workers and changes of the partition owner.
 
 mod support;
 
@@ -19,8 +20,8 @@
 const TASKS: u32 = 4;
 const LIMITS: LeaseLimits = LeaseLimits { lease: Duration::from_secs(15), margin: Duration::from_secs(1) };
 
-/// A worker with its holder's ledger.
-struct Held {
+/// A simulated worker, together with the ledger of its holder.
+struct HeldWorker {
     tasks: BTreeMap<(Id, Attempt), AttemptReport>,
     incarnation: u64,
     ledger: Ledger,
@@ -31,22 +32,24 @@
     Report { incarnation, stamp_ms: 0, capacity, leaving: false, tasks: tasks.values().cloned().collect() }
 }
 
-impl Held {
-    fn new(name: &str, now: Instant) -> Held {
+impl HeldWorker {
+    fn new(name: &str, now: Instant) -> HeldWorker {
         let tasks = BTreeMap::new();
         let ledger = Ledger::open(name.to_owned(), 1, report(&tasks, 1), LIMITS, now);
-        Held { tasks, incarnation: 1, ledger }
+        HeldWorker { tasks, incarnation: 1, ledger }
     }
 
-    fn carry_out(&mut self, commands: &[Command]) {
+    fn execute(&mut self, commands: &[Command]) {
         for command in commands {
             match command {
                 Command::Start { task, attempt, resources, .. } => {
-                    let fresh = || found(task, *attempt, *resources, AttemptState::Running { address: None });
-                    self.tasks.entry((task.clone(), *attempt)).or_insert_with(fresh);
+                    let running =
+                        || attempt_report(task, *attempt, *resources, AttemptState::Running { address: None });
+                    self.tasks.entry((task.clone(), *attempt)).or_insert_with(running);
                 }
                 Command::Stop { task, attempt } => {
-                    let stopped = || found(task, *attempt, Resources::ZERO, AttemptState::Ended { end: End::Stopped });
+                    let stopped =
+                        || attempt_report(task, *attempt, Resources::ZERO, AttemptState::Ended { end: End::Stopped });
                     self.tasks.entry((task.clone(), *attempt)).or_insert_with(stopped);
                     self.end(task, Some(*attempt), End::Stopped);
                 }
@@ -60,16 +63,16 @@
 
     fn end(&mut self, task: &Id, attempt: Option<Attempt>, end: End) {
         for ((id, number), found) in &mut self.tasks {
-            let meant = id == task && attempt.is_none_or(|attempt| attempt == *number);
-            if meant && !matches!(found.run, AttemptState::Ended { .. }) {
+            let matching = id == task && attempt.is_none_or(|attempt| attempt == *number);
+            if matching && !matches!(found.run, AttemptState::Ended { .. }) {
                 found.run = AttemptState::Ended { end: end.clone() };
             }
         }
     }
 
-    fn batch(&mut self, answered: bool, now: Instant) {
+    fn send_batch(&mut self, answered: bool, now: Instant) {
         let commands = self.ledger.commands(now);
-        self.carry_out(&commands);
+        self.execute(&commands);
         if answered {
             self.ledger.apply_batch_reply(&commands, report(&self.tasks, self.incarnation), now);
         }
@@ -81,29 +84,29 @@
     }
 }
 
-fn found(task: &Id, attempt: Attempt, resources: Resources, run: AttemptState) -> AttemptReport {
+fn attempt_report(task: &Id, attempt: Attempt, resources: Resources, run: AttemptState) -> AttemptReport {
     AttemptReport { task: task.clone(), attempt, resources, patient: false, run, unsaved_ms: 0, usage: None }
 }
 
-struct World {
+struct Simulation {
     now: Instant,
-    workers: Vec<Held>,
+    workers: Vec<HeldWorker>,
     tracker: JobTracker,
     stored_progress: Progress,
     started: u64,
 }
 
-impl World {
-    fn new() -> World {
+impl Simulation {
+    fn new() -> Simulation {
         let now = Instant::now();
-        let workers = (0..WORKERS).map(|at| Held::new(&format!("w{at}"), now)).collect();
+        let workers = (0..WORKERS).map(|at| HeldWorker::new(&format!("w{at}"), now)).collect();
         let mut tracker = JobTracker::new(1, "gt-1".to_owned());
         tracker.set_worker_count(WORKERS);
         tracker.apply(versioned("plan", Kind::Batch, TASKS, 1), None, true, now);
-        World { now, workers, tracker, stored_progress: Progress::default(), started: 0 }
+        Simulation { now, workers, tracker, stored_progress: Progress::default(), started: 0 }
     }
 
-    fn order(&mut self, index: u32, at: usize, answered: bool) {
+    fn start_task(&mut self, index: u32, at: usize, answered: bool) {
         let name = self.workers[at].ledger.worker().clone();
         let Some(order) = self.tracker.create_start_order("plan", index, &name, self.now) else { return };
         self.deliver(&order, at, answered);
@@ -128,13 +131,13 @@
     fn resend(&mut self) {
         self.now += Duration::from_secs(1);
         for order in self.tracker.overdue_orders(self.now) {
-            let at = self.position(&order.worker);
+            let at = self.worker_index(&order.worker);
             self.deliver(&order, at, true);
         }
     }
 
-    fn position(&self, worker: &str) -> usize {
-        self.workers.iter().position(|held| held.ledger.worker() == worker).expect("a known worker")
+    fn worker_index(&self, worker: &str) -> usize {
+        self.workers.iter().position(|held| held.ledger.worker() == worker).expect("the order names a simulated worker")
     }
 
     fn observe(&mut self) {
@@ -145,14 +148,14 @@
                 self.tracker.observe(&task, attempt, &fact, false, self.now);
             }
         }
-        self.compare();
+        self.mark_missing();
     }
 
-    /// What the node does with a holder's whole inventory.
-    fn compare(&mut self) {
+    /// Marks attempts as lost that a reachable holder does not list, as the node does with a holder's complete inventory.
+    fn mark_missing(&mut self) {
         let mut missing = Vec::new();
         for (task, attempt, worker) in self.tracker.possibly_live_attempts() {
-            let held = &self.workers[self.position(worker)];
+            let held = &self.workers[self.worker_index(worker)];
             let known = held.ledger.task_facts().any(|(key, _)| key == FactKey::Task(task.clone(), attempt));
             if !known && held.ledger.reachable() {
                 missing.push((task, attempt));
@@ -163,24 +166,24 @@
         }
     }
 
-    fn settle(&mut self) {
+    fn process_orders(&mut self) {
         for (name, progress, ends) in self.tracker.unpersisted_ends() {
             self.stored_progress = progress;
             self.tracker.mark_persisted(&name, &ends);
         }
         for order in self.tracker.take_acknowledgements() {
-            let at = self.position(&order.worker);
+            let at = self.worker_index(&order.worker);
             self.workers[at].ledger.acknowledge(&order.task, order.attempt);
         }
         let orphans: Vec<_> = self.tracker.orphans().cloned().collect();
         for order in self.tracker.stop_orders(self.now).into_iter().chain(orphans) {
-            let at = self.position(&order.worker);
+            let at = self.worker_index(&order.worker);
             self.workers[at].ledger.stop(&order.task, order.attempt, self.now);
         }
     }
 
-    /// A new owner reads the record, the progress and the inventories.
-    fn new_owner(&mut self) {
+    /// Replaces the owner by a new one, which reads the record, the stored progress and the inventories of all holders.
+    fn change_owner(&mut self) {
         self.tracker = JobTracker::new(self.tracker.epoch() + 1, "gt-1".to_owned());
         self.tracker.set_worker_count(WORKERS);
         self.tracker.apply(versioned("plan", Kind::Batch, TASKS, 1), Some(&self.stored_progress), false, self.now);
@@ -193,7 +196,7 @@
         for held in &self.workers {
             for found in held.tasks.values() {
                 if !matches!(found.run, AttemptState::Ended { .. }) {
-                    prop_assert!(seen.insert(&found.task), "{} runs in two places", found.task);
+                    prop_assert!(seen.insert(&found.task), "{} runs on two workers", found.task);
                 }
             }
         }
@@ -234,27 +237,27 @@
     #![proptest_config(ProptestConfig { cases: 512, ..ProptestConfig::default() })]
     #[test]
     fn no_task_runs_in_two_places(steps in prop::collection::vec(step(), 1..150)) {
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
         for step in steps {
             match step {
-                Step::Order(task, at, answered) => world.order(task, at, answered),
-                Step::Resend => world.resend(),
-                Step::Batch(at, answered) => { let now = world.now; world.workers[at].batch(answered, now) }
-                Step::BatchLost(at) => { world.workers[at].ledger.commands(world.now); }
-                Step::Observe => world.observe(),
-                Step::Settle => world.settle(),
+                Step::Order(task, at, answered) => simulation.start_task(task, at, answered),
+                Step::Resend => simulation.resend(),
+                Step::Batch(at, answered) => { let now = simulation.now; simulation.workers[at].send_batch(answered, now) }
+                Step::BatchLost(at) => { simulation.workers[at].ledger.commands(simulation.now); }
+                Step::Observe => simulation.observe(),
+                Step::Settle => simulation.process_orders(),
                 Step::Finish(task, at) => {
-                    let id = world.tracker.jobs()["plan"].id(task);
-                    world.workers[at].end(&id, None, End::Finished);
+                    let id = simulation.tracker.jobs()["plan"].id(task);
+                    simulation.workers[at].end(&id, None, End::Finished);
                 }
                 Step::Restart(at) => {
-                    world.workers[at].tasks.clear();
-                    world.workers[at].incarnation += 1;
+                    simulation.workers[at].tasks.clear();
+                    simulation.workers[at].incarnation += 1;
                 }
-                Step::TakeOver(at) => { let now = world.now; world.workers[at].take_over(now) }
-                Step::NewOwner => world.new_owner(),
+                Step::TakeOver(at) => { let now = simulation.now; simulation.workers[at].take_over(now) }
+                Step::NewOwner => simulation.change_owner(),
             }
-            world.check()?;
+            simulation.check()?;
         }
     }
 }
