--- a/components/jobs/src/job.rs
+++ b/components/jobs/src/job.rs
@@ -8,7 +8,7 @@
 use model::{DataCentreId, Reason, WorkerId};
 use wire::StopOrder;
 
-use crate::failures::{Failures, RetryState};
+use crate::failure::{Failures, RetryState};
 use crate::task::{Phase, Task};
 
 /// A task that ran this long counts as healthy: its earlier failures are forgotten, and the loss of its worker is
@@ -242,7 +242,7 @@
         recently_started && self.failures.record_worker_loss(worker, worker_count, now)
     }
 
-    /// Removes a task that is surplus or whose replacement runs.
+    /// Removes an ended task that is surplus or being replaced.
     fn after_end(&mut self, index: u32, now: Instant) {
         let live = self.tasks.get(&index).is_some_and(Task::may_be_live);
         if self.replacements.contains_key(&index) && !live {
@@ -344,7 +344,7 @@
         Vec::new()
     }
 
-    /// Whether all tasks have finished and nothing is left to run.
+    /// Whether no attempt is running and nothing is left to run.
     pub fn is_complete(&self) -> bool {
         let done = self.tasks.values().all(|task| task.phase == Phase::Finished);
         done && (self.cancelled() || self.workload().kind != Kind::Service)
--- a/components/jobs/src/lib.rs
+++ b/components/jobs/src/lib.rs
@@ -5,12 +5,12 @@
 //! and get start orders, stop orders and reasons back. A new attempt at a task is created only once the previous
 //! attempt is known to have ended.
 
-mod failures;
+mod failure;
 mod job;
 mod task;
 mod tracker;
 
-pub use failures::{Failures, PARK_AFTER, RetryState};
+pub use failure::{Failures, PARK_AFTER, RetryState};
 pub use job::Job;
 pub use task::{Phase, Task};
 pub use tracker::{JobEvent, JobTracker, PendingJob};
--- a/components/jobs/src/tracker.rs
+++ b/components/jobs/src/tracker.rs
@@ -8,7 +8,7 @@
 use model::{DataCentreId, Epoch, Reason, Revision, WorkerId, WorkloadId};
 use wire::{StartOrder, StopOrder, TaskFact, TaskState};
 
-use crate::failures::RetryState;
+use crate::failure::RetryState;
 use crate::job::Job;
 use crate::task::{Phase, Task};
 
@@ -228,7 +228,7 @@
         self.orphans.remove(&(task.clone(), attempt));
     }
 
-    /// Records that a worker is permanently lost_attempts and that all leases on it have expired.
+    /// Records that a worker is permanently gone and that all leases on it have expired.
     pub fn mark_worker_lost(&mut self, worker: &str, now: Instant) {
         let mut lost_attempts: Vec<(Id, Attempt)> = Vec::new();
         for job in self.jobs.values() {
@@ -243,7 +243,7 @@
         self.orphans.retain(|_, order| order.worker != worker);
     }
 
-    /// Counts the loss of a worker as a failure of a task that had recently started on_worker. The task may have crashed
+    /// Counts the loss of a worker as a failure of a task that had recently started there. The task may have crashed
     /// the worker, and then nothing else reports the failure.
     fn record_worker_loss(&mut self, task: &Id, worker: &str, now: Instant) {
         let Some(job) = self.jobs.get_mut(&task.workload) else { return };
@@ -273,7 +273,7 @@
         self.recovered
     }
 
-    /// Sets what the recovery unpersisted for as the reason of all tasks in [`Phase::Unknown`].
+    /// Sets what the recovery waits for as the reason of all tasks in [`Phase::Unknown`].
     pub fn set_recovery_reason(&mut self, waiting_for: &str) {
         for job in self.jobs.values_mut() {
             for task in job.tasks.values_mut().filter(|task| task.phase == Phase::Unknown) {
--- a/components/jobs/tests/two_places.rs
+++ b/components/jobs/tests/two_places.rs
@@ -151,7 +151,8 @@
         self.mark_missing();
     }
 
-    /// Marks attempts as lost that a reachable holder does not list, as the node does with a holder's complete inventory.
+    /// Marks attempts as lost that a reachable holder does not list. The node does the same with the complete inventory of
+    /// a holder.
     fn mark_missing(&mut self) {
         let mut missing = Vec::new();
         for (task, attempt, worker) in self.tracker.possibly_live_attempts() {
@@ -242,7 +243,10 @@
             match step {
                 Step::Order(task, at, answered) => simulation.start_task(task, at, answered),
                 Step::Resend => simulation.resend(),
-                Step::Batch(at, answered) => { let now = simulation.now; simulation.workers[at].send_batch(answered, now) }
+                Step::Batch(at, answered) => {
+                    let now = simulation.now;
+                    simulation.workers[at].send_batch(answered, now)
+                }
                 Step::BatchLost(at) => { simulation.workers[at].ledger.commands(simulation.now); }
                 Step::Observe => simulation.observe(),
                 Step::Settle => simulation.process_orders(),
--- a/components/ledger/src/health.rs
+++ b/components/ledger/src/health.rs
@@ -1,14 +1,17 @@
-//! Whether a worker is to blame for failures: it is, when tasks of *distinct* workloads fail on it and none
-//! succeeds. Then it is on probation and gets one trial task at a time, less and less often.
+//! Detects workers on which tasks fail for reasons that are not the tasks' own.
+//!
+//! A worker is put on probation when tasks of several distinct workloads fail on it and none succeeds in between. On
+//! probation it gets one trial task at a time, after delays that double with each failure. A success ends the
+//! probation.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::{Duration, Instant};
 
 use model::WorkloadId;
 
-/// Ends that are remembered.
-const WINDOW: usize = 8;
-/// Different workloads that must have failed in the window.
+/// Number of recent failures that are remembered.
+const FAILURE_WINDOW: usize = 8;
+/// Number of distinct workloads among the remembered failures that starts a probation.
 const MIN_DISTINCT_WORKLOADS: usize = 3;
 const INITIAL_TRIAL_DELAY: Duration = Duration::from_secs(10);
 const MAX_TRIAL_DELAY: Duration = Duration::from_secs(600);
@@ -19,7 +22,7 @@
     delay: Duration,
 }
 
-/// The judgement on one worker.
+/// The failures on one worker since its last success, and its probation.
 #[derive(Clone, Debug, Default)]
 pub struct WorkerHealth {
     failures: VecDeque<WorkloadId>,
@@ -27,13 +30,13 @@
 }
 
 impl WorkerHealth {
-    /// Notes a task that ran to its end. Tells whether this ended a probation.
+    /// Records a task that completed successfully. Returns whether this ends a probation.
     pub fn record_success(&mut self) -> bool {
         self.failures.clear();
         self.probation.take().is_some()
     }
 
-    /// Notes a failure. Tells whether a probation begins.
+    /// Records a failure. Returns whether this starts a probation.
     pub fn record_failure(&mut self, workload: &str, now: Instant) -> bool {
         if let Some(probation) = &mut self.probation {
             probation.delay = (probation.delay * 2).min(MAX_TRIAL_DELAY);
@@ -41,7 +44,7 @@
             return false;
         }
         self.failures.push_back(workload.to_owned());
-        if self.failures.len() > WINDOW {
+        if self.failures.len() > FAILURE_WINDOW {
             self.failures.pop_front();
         }
         let distinct: BTreeSet<&WorkloadId> = self.failures.iter().collect();
@@ -57,7 +60,7 @@
         self.probation.is_some()
     }
 
-    /// Whether it may get a task now; `trial_running` when it has one that was started during the probation.
+    /// Whether the worker may get a task at `now`. `trial_running` means that a trial task is running.
     pub fn accepts_task(&self, trial_running: bool, now: Instant) -> bool {
         match &self.probation {
             None => true,
--- a/components/ledger/src/ledger.rs
+++ b/components/ledger/src/ledger.rs
@@ -11,34 +11,34 @@
 use crate::health::WorkerHealth;
 use crate::reservations::Reservations;
 
-/// Times that the ledger reckons with.
+/// Durations that decide when the leases on an unreachable worker have expired.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseLimits {
-    /// Lease of a task, counted by the worker from the stamp of the last report that the holder received.
+    /// Lease of an attempt. The worker counts it from the stamp of the last report that the holder received.
     pub lease: Duration,
-    /// Added to the lease for clocks that run at slightly different speeds.
+    /// Added to the lease to allow for clocks that run at slightly different rates.
     pub margin: Duration,
 }
 
-/// What becomes of a start order.
+/// The answer to a start order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommitResult {
-    /// Committed, now or earlier.
+    /// Capacity is committed, by this order or by an earlier copy of it.
     Accepted,
-    /// Does not fit; this much is free for the workload.
+    /// The attempt does not fit. Holds the resources that are free for its workload.
     Full(Resources),
-    /// The worker takes nothing new now.
+    /// The worker accepts no new attempts at present, or an earlier attempt at the task has not ended.
     Closed,
 }
 
-/// An attempt that ended, for the log and the metrics.
+/// An attempt that has ended, for logs and metrics.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndedAttempt {
-    /// What.
+    /// The task.
     pub task: Id,
-    /// Which attempt.
+    /// The attempt at the task.
     pub attempt: Attempt,
-    /// How.
+    /// How the attempt ended.
     pub end: End,
 }
 
@@ -47,32 +47,33 @@
     resources: Resources,
     patient: bool,
     state: TaskState,
-    /// Sent until the worker's report shows it.
-    start: Option<Command>,
-    /// Whether the start may have reached the worker.
+    /// The start command, sent with every batch until the worker answers one that contains it.
+    start_command: Option<Command>,
+    /// Whether the start command may have reached the worker.
     maybe_sent: bool,
-    /// Since when a stop has been asked for.
-    stop: Option<Instant>,
-    /// Whether the worker was told to stop it.
+    /// When the stop was first requested.
+    stop_requested_at: Option<Instant>,
+    /// Whether a stop command was put into a batch.
     stop_sent: bool,
-    /// Run time since the last checkpoint, as a power of two of seconds.
+    /// Run time since the last checkpoint, as the base-2 logarithm of seconds.
     unsaved: u8,
-    /// Whether it answers callers: then they are led elsewhere before it is stopped.
+    /// Whether this is a service instance, which is drained before it is stopped.
     service: bool,
-    /// Whether its end is durable, so that the worker may forget it.
+    /// Whether the end has been stored, so that the worker may forget the attempt.
     acknowledged: bool,
-    /// Started while the worker was on probation.
+    /// Whether the attempt was started while the worker was on probation.
     trial: bool,
 }
 
-/// A service instance is stopped so long after it was taken out of every entry host's choice.
+/// Delay between the stop request for a service instance and its stop command. During the delay the entry hosts stop
+/// routing requests to the instance.
 pub const DRAIN_DELAY: Duration = Duration::from_secs(2);
 
 impl AttemptEntry {
-    /// Whether the worker is to be told to stop it now.
+    /// Whether the stop command is due: a stop was requested, the drain delay is over and the attempt has not ended.
     fn stop_is_due(&self, now: Instant) -> bool {
         let drain = if self.service { DRAIN_DELAY } else { Duration::ZERO };
-        !self.ended() && self.stop.is_some_and(|since| now >= since + drain)
+        !self.ended() && self.stop_requested_at.is_some_and(|since| now >= since + drain)
     }
 
     fn ended(&self) -> bool {
@@ -82,7 +83,7 @@
 
 type AttemptKey = (Id, Attempt);
 
-/// The commitments of one held worker.
+/// The capacity and attempts of one worker, as accounted for by its holder.
 #[derive(Debug)]
 pub struct Ledger {
     worker: WorkerId,
@@ -102,7 +103,7 @@
 }
 
 impl Ledger {
-    /// Opens the ledger of a worker that was just taken over with `epoch`, from its report received `now`.
+    /// Creates the ledger of a worker that was just taken over with `epoch`, from the report received at `now`.
     pub fn open(worker: WorkerId, epoch: Epoch, report: Report, limits: LeaseLimits, now: Instant) -> Ledger {
         let mut ledger = Ledger {
             worker,
@@ -124,22 +125,22 @@
         ledger
     }
 
-    /// The worker's name.
+    /// Name of the worker.
     pub fn worker(&self) -> &WorkerId {
         &self.worker
     }
 
-    /// Epoch of the hold.
+    /// The epoch with which the worker is held.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// Stamp and lease for the next batch.
+    /// The stamp of the last report, and the lease to grant from it in the next batch.
     pub fn lease(&self) -> (u64, Duration) {
         (self.stamp_ms, self.limits.lease)
     }
 
-    /// What is not committed.
+    /// Capacity that is not committed.
     pub fn free(&self) -> Resources {
         self.capacity.saturating_sub(&self.committed())
     }
@@ -158,7 +159,7 @@
         self.reachable && !self.leaving && !self.listed_leaving && self.health.accepts_task(trial_running, now)
     }
 
-    /// Commits room for an attempt, or says that there is none. Repeating an order changes nothing.
+    /// Commits capacity for an attempt if the worker accepts it. Repeating an accepted order changes nothing.
     pub fn commit(&mut self, order: &StartOrder, now: Instant) -> CommitResult {
         let key = (order.task.clone(), order.attempt);
         if self.entries.contains_key(&key) {
@@ -178,7 +179,7 @@
     }
 
     fn new_entry(&self, order: &StartOrder) -> AttemptEntry {
-        let start = Command::Start {
+        let start_command = Command::Start {
             task: order.task.clone(),
             attempt: order.attempt,
             resources: order.resources,
@@ -190,9 +191,9 @@
             resources: order.resources,
             patient: order.patient,
             state: TaskState::Starting,
-            start: Some(start),
+            start_command: Some(start_command),
             maybe_sent: false,
-            stop: None,
+            stop_requested_at: None,
             stop_sent: false,
             unsaved: 0,
             service: order.service,
@@ -201,10 +202,10 @@
         }
     }
 
-    /// Keeps room for a workload and stops the patient attempts that stand in its way. Tells whether all the
-    /// room is there now.
+    /// Reserves room for a workload and stops those of the given victims that have the priority `Patient`. Returns
+    /// whether all the requested room is free now.
     pub fn reserve(&mut self, order: &ReserveOrder, now: Instant) -> bool {
-        self.reservations.put(order.workload.clone(), order.resources, order.seniority, now);
+        self.reservations.insert(order.workload.clone(), order.resources, order.seniority, now);
         for (task, attempt) in &order.victims {
             let patient = self.entries.get(&(task.clone(), *attempt)).is_some_and(|entry| entry.patient);
             if patient {
@@ -215,35 +216,35 @@
         self.accepts_work(now) && order.resources.fits_in(&free)
     }
 
-    /// Asks for the stop of an attempt. One that was never sent to the worker ends at once.
+    /// Requests the stop of an attempt. An attempt whose start was never sent to the worker ends immediately.
     pub fn stop(&mut self, task: &Id, attempt: Attempt, now: Instant) {
         let Some(entry) = self.entries.get_mut(&(task.clone(), attempt)) else { return };
         if entry.ended() {
             return;
         }
-        entry.start = None;
-        entry.stop.get_or_insert(now);
+        entry.start_command = None;
+        entry.stop_requested_at.get_or_insert(now);
         entry.state = if entry.maybe_sent { TaskState::Stopping } else { TaskState::Ended(End::Stopped) };
     }
 
-    /// States that the end of an attempt is durable.
+    /// Records that the end of an attempt has been stored.
     pub fn acknowledge(&mut self, task: &Id, attempt: Attempt) {
         if let Some(entry) = self.entries.get_mut(&(task.clone(), attempt)) {
             entry.acknowledged = entry.ended();
         }
     }
 
-    /// Takes up whether the platform's list says that the worker is leaving.
+    /// Sets whether the platform's list of workers marks this worker as leaving.
     pub fn set_listed_leaving(&mut self, leaving: bool) {
         self.listed_leaving = leaving;
     }
 
-    /// The commands of the next batch. Each is repeated until a report shows its effect.
+    /// The commands of the next batch. Each command is repeated until a report shows its effect.
     pub fn commands(&mut self, now: Instant) -> Vec<Command> {
         let mut commands = Vec::new();
         for ((task, attempt), entry) in &mut self.entries {
             entry.maybe_sent = true;
-            commands.extend(entry.start.clone());
+            commands.extend(entry.start_command.clone());
             if entry.stop_is_due(now) {
                 entry.stop_sent = true;
                 commands.push(Command::Checkpoint { task: task.clone(), attempt: *attempt });
@@ -256,20 +257,21 @@
         commands
     }
 
-    /// Whether a batch should be sent without waiting for the next renewal.
+    /// Whether a batch should be sent now instead of with the next lease renewal.
     pub fn has_urgent_commands(&self, now: Instant) -> bool {
-        self.entries
-            .values()
-            .any(|entry| entry.start.is_some() || entry.acknowledged || (entry.stop_is_due(now) && !entry.stop_sent))
+        self.entries.values().any(|entry| {
+            entry.start_command.is_some() || entry.acknowledged || (entry.stop_is_due(now) && !entry.stop_sent)
+        })
     }
 
-    /// Takes in the report that answers a batch made of `sent`, received `now`.
+    /// Applies the report received at `now` in reply to a batch with the commands `sent`. Returns the attempts that it
+    /// shows as ended.
     pub fn apply_batch_reply(&mut self, sent: &[Command], report: Report, now: Instant) -> Vec<EndedAttempt> {
         for command in sent {
             match command {
                 Command::Start { task, attempt, .. } => {
                     if let Some(entry) = self.entries.get_mut(&(task.clone(), *attempt)) {
-                        entry.start = None;
+                        entry.start_command = None;
                     }
                 }
                 Command::Acknowledge { task, attempt } => self.forget(task, *attempt),
@@ -279,7 +281,7 @@
         self.apply_report(report, now)
     }
 
-    /// Forgets an attempt whose end is durable and that its worker has forgotten.
+    /// Removes an attempt that its worker has forgotten, provided that its end has been stored.
     pub fn forget(&mut self, task: &Id, attempt: Attempt) {
         let key = (task.clone(), attempt);
         if self.entries.get(&key).is_some_and(|entry| entry.acknowledged) {
@@ -301,18 +303,18 @@
         }
         let mut ended = self.end_missing(&reported);
         for (key, task) in reported {
-            ended.extend(self.apply_task_report(key, task));
+            ended.extend(self.apply_attempt_report(key, task));
         }
         self.record_results(&ended, now);
         ended
     }
 
-    /// Attempts that the worker should have and does not: they have ended with the worker's earlier life.
+    /// Ends the attempts that the worker should have but did not report: they were lost when the worker restarted.
     fn end_missing(&mut self, reported: &BTreeMap<AttemptKey, worker::AttemptReport>) -> Vec<EndedAttempt> {
         let mut ended = Vec::new();
         for (key, entry) in &mut self.entries {
-            let unsent = entry.start.is_some() || entry.stop.is_some();
-            if reported.contains_key(key) || entry.ended() || unsent {
+            let pending = entry.start_command.is_some() || entry.stop_requested_at.is_some();
+            if reported.contains_key(key) || entry.ended() || pending {
                 continue;
             }
             entry.state = TaskState::Ended(End::Restarted);
@@ -321,27 +323,29 @@
         ended
     }
 
-    fn apply_task_report(&mut self, key: AttemptKey, task: worker::AttemptReport) -> Option<EndedAttempt> {
+    fn apply_attempt_report(&mut self, key: AttemptKey, task: worker::AttemptReport) -> Option<EndedAttempt> {
         let entry = self.entries.entry(key.clone()).or_insert_with(|| AttemptEntry {
             resources: task.resources,
             patient: task.patient,
             state: TaskState::Starting,
-            start: None,
+            start_command: None,
             maybe_sent: true,
-            stop: None,
+            stop_requested_at: None,
             stop_sent: false,
             unsaved: 0,
             service: matches!(task.run, AttemptState::Running { address: Some(_) }),
             acknowledged: false,
             trial: false,
         });
-        entry.start = None;
+        entry.start_command = None;
         if entry.ended() {
             return None;
         }
         entry.unsaved = log2_seconds(task.unsaved_ms);
         match task.run {
-            AttemptState::Running { address } if entry.stop.is_none() => entry.state = TaskState::Running(address),
+            AttemptState::Running { address } if entry.stop_requested_at.is_none() => {
+                entry.state = TaskState::Running(address)
+            }
             AttemptState::Running { .. } | AttemptState::Stopping => entry.state = TaskState::Stopping,
             AttemptState::Ended { end } => {
                 entry.state = TaskState::Ended(end.clone());
@@ -365,13 +369,15 @@
         }
     }
 
-    /// Notes that the worker did not answer. Tells whether that is news.
+    /// Records that the worker did not answer. Returns whether it was reachable before.
     pub fn mark_unreachable(&mut self) -> bool {
         std::mem::replace(&mut self.reachable, false)
     }
 
-    /// Ends all attempts on a silent worker once their leases have surely lapsed. `sole_holder` states that no other
-    /// host can have renewed them since: the caller knows it from its peers, or from the platform's list.
+    /// Ends all attempts on an unreachable worker once their leases have certainly expired, and returns them.
+    ///
+    /// `sole_holder` means that no other host can have renewed the leases since the last report. The caller knows this
+    /// from its peers or from the platform's list.
     pub fn expire_leases(&mut self, sole_holder: bool, now: Instant) -> Vec<EndedAttempt> {
         let expire_at = self.reported_at + self.limits.lease + self.limits.margin;
         if self.reachable || self.leases_expired || !sole_holder || now <= expire_at {
@@ -383,24 +389,24 @@
             if entry.ended() {
                 continue;
             }
-            entry.start = None;
+            entry.start_command = None;
             entry.state = TaskState::Ended(End::Lost);
             ended.push(EndedAttempt { task: key.0.clone(), attempt: key.1, end: End::Lost });
         }
         ended
     }
 
-    /// Whether the worker answers its holder.
+    /// Whether the worker answered its last batch.
     pub fn reachable(&self) -> bool {
         self.reachable
     }
 
-    /// Whether it is on probation.
+    /// Whether the worker is on probation.
     pub fn on_probation(&self) -> bool {
         self.health.on_probation()
     }
 
-    /// What peers are told of the worker.
+    /// The fact about the worker that is published to the peers.
     pub fn worker_fact(&mut self, now: Instant) -> WorkerFact {
         self.reservations.expire(now);
         let patient = self.entries.values().filter(|entry| entry.patient && !entry.ended());
@@ -417,7 +423,7 @@
         }
     }
 
-    /// What peers are told of the attempts.
+    /// The facts about the attempts that are published to the peers.
     pub fn task_facts(&self) -> impl Iterator<Item = (FactKey, Fact)> + '_ {
         self.entries.iter().map(|((task, attempt), entry)| {
             let fact = TaskFact {
@@ -432,7 +438,7 @@
     }
 }
 
-/// The power of two of seconds that a time has reached; 0 below two seconds.
+/// The base-2 logarithm of a time in seconds, rounded down; 0 below two seconds.
 fn log2_seconds(milliseconds: u64) -> u8 {
     (milliseconds / 1000).checked_ilog2().unwrap_or(0) as u8
 }
--- a/components/ledger/src/lib.rs
+++ b/components/ledger/src/lib.rs
@@ -1,8 +1,11 @@
-//! The only place that commits a worker's capacity: the ledger of the entry host that holds the worker.
+//! Accounts for the capacity of one worker, on the entry host that holds the worker. Capacity is committed nowhere
+//! else.
 //!
-//! Pure: orders, reports and time go in; answers, commands for the worker and facts for the peers come out.
-//! It counts the declared size of everything started, stopping or in doubt, and it is rebuilt from the
-//! worker's own report before the first decision under a new epoch.
+//! This package does no I/O and never reads the clock. Callers pass in orders, reports and the current time, and get
+//! answers, commands for the worker and facts for the peers back.
+//!
+//! The ledger counts the declared resources of every attempt that is starting, running, stopping or in doubt. Under a
+//! new epoch it is rebuilt from the worker's own report before the first decision.
 
 mod health;
 mod ledger;
--- a/components/ledger/tests/ledger.rs
+++ b/components/ledger/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger: never over capacity, idempotent orders, truth about ends.
+//! Tests of `Ledger`: committed capacity, repeated orders, ends of attempts, probation and reservations.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -36,7 +36,7 @@
     Report { incarnation: 1, stamp_ms: 0, capacity: Resources::new(16, 65536, 0), leaving: false, tasks }
 }
 
-fn found(workload: &str, index: u32, number: u32, cores: u32, run: AttemptState) -> AttemptReport {
+fn attempt_report(workload: &str, index: u32, number: u32, cores: u32, run: AttemptState) -> AttemptReport {
     let resources = Resources::new(cores, cores * 1024, 0);
     AttemptReport {
         task: task(workload, index),
@@ -65,15 +65,15 @@
 }
 
 #[test]
-fn a_ledger_opened_after_a_takeover_counts_what_already_runs() {
+fn a_ledger_opened_after_a_takeover_counts_running_attempts() {
     let now = Instant::now();
-    let mut ledger = open(vec![found("old", 0, 1, 10, running())], now);
+    let mut ledger = open(vec![attempt_report("old", 0, 1, 10, running())], now);
     assert_eq!(ledger.commit(&order("new", 0, 1, 8), now), CommitResult::Full(Resources::new(6, 65536 - 10240, 0)));
     assert_eq!(ledger.commit(&order("new", 0, 1, 6), now), CommitResult::Accepted);
 }
 
 #[test]
-fn a_repeated_order_commits_once() {
+fn a_repeated_start_order_commits_capacity_once() {
     let now = Instant::now();
     let mut ledger = open(Vec::new(), now);
     for _ in 0..3 {
@@ -83,27 +83,27 @@
 }
 
 #[test]
-fn a_second_attempt_is_refused_while_the_first_lives() {
+fn a_second_attempt_is_refused_while_the_first_is_running() {
     let now = Instant::now();
-    let mut ledger = open(vec![found("a", 0, 1, 1, running())], now);
+    let mut ledger = open(vec![attempt_report("a", 0, 1, 1, running())], now);
     assert_eq!(ledger.commit(&order("a", 0, 2, 1), now), CommitResult::Closed);
 }
 
 #[test]
-fn a_start_is_repeated_until_a_report_answers_it() {
+fn a_start_command_is_repeated_until_a_batch_is_answered() {
     let now = Instant::now();
     let mut ledger = open(Vec::new(), now);
     ledger.commit(&order("a", 0, 1, 1), now);
     let first = ledger.commands(now);
     ledger.mark_unreachable();
     assert_eq!(ledger.commands(now), first, "the answer was lost");
-    ledger.apply_batch_reply(&first, report(vec![found("a", 0, 1, 1, running())]), now);
+    ledger.apply_batch_reply(&first, report(vec![attempt_report("a", 0, 1, 1, running())]), now);
     assert_eq!(state(&ledger, "a"), Some(TaskState::Running(None)));
     assert!(ledger.commands(now).is_empty());
 }
 
 #[test]
-fn work_cancelled_before_its_start_was_sent_is_never_started() {
+fn an_attempt_stopped_before_its_start_was_sent_is_never_started() {
     let now = Instant::now();
     let mut ledger = open(Vec::new(), now);
     ledger.commit(&order("a", 0, 1, 1), now);
@@ -114,23 +114,23 @@
 }
 
 #[test]
-fn a_stop_after_an_unanswered_start_sends_no_start_again_and_frees_nothing_yet() {
+fn a_stop_after_an_unanswered_start_cancels_the_start_but_keeps_the_capacity() {
     let now = Instant::now();
     let mut ledger = open(Vec::new(), now);
     ledger.commit(&order("a", 0, 1, 4), now);
     ledger.commands(now);
     ledger.stop(&task("a", 0), attempt(1), now);
     assert!(!ledger.commands(now).iter().any(|command| matches!(command, Command::Start { .. })));
-    assert_eq!(ledger.free().cpu_milli, 12_000, "it may be running: its room stays committed");
+    assert_eq!(ledger.free().cpu_milli, 12_000, "the attempt may be running, so its capacity stays committed");
 }
 
 #[test]
 fn an_end_is_kept_until_it_is_acknowledged() {
     let now = Instant::now();
-    let ended = || report(vec![found("a", 0, 1, 4, AttemptState::Ended { end: End::Finished })]);
-    let mut ledger = open(vec![found("a", 0, 1, 4, running())], now);
+    let ended = || report(vec![attempt_report("a", 0, 1, 4, AttemptState::Ended { end: End::Finished })]);
+    let mut ledger = open(vec![attempt_report("a", 0, 1, 4, running())], now);
     assert_eq!(ledger.apply_batch_reply(&[], ended(), now).len(), 1);
-    assert!(ledger.apply_batch_reply(&[], ended(), now).is_empty(), "told once");
+    assert!(ledger.apply_batch_reply(&[], ended(), now).is_empty(), "an end is returned only once");
     assert_eq!(ledger.free().cpu_milli, 16_000);
     assert_eq!(state(&ledger, "a"), Some(TaskState::Ended(End::Finished)));
     ledger.acknowledge(&task("a", 0), attempt(1));
@@ -141,52 +141,58 @@
 }
 
 #[test]
-fn a_worker_restarted_empty_has_surely_ended_its_tasks() {
+fn attempts_missing_after_a_worker_restart_have_ended() {
     let now = Instant::now();
-    let mut ledger = open(vec![found("a", 0, 1, 4, running())], now);
+    let mut ledger = open(vec![attempt_report("a", 0, 1, 4, running())], now);
     let restarted = Report { incarnation: 2, ..report(Vec::new()) };
     let ended = ledger.apply_batch_reply(&[], restarted, now);
     assert_eq!(ended[0].end, End::Restarted);
 }
 
 #[test]
-fn a_silent_workers_tasks_end_only_after_lease_and_margin_and_only_under_a_sole_hold() {
+fn attempts_on_an_unreachable_worker_end_only_after_lease_and_margin_and_only_with_a_sole_holder() {
     let start = Instant::now();
-    let mut ledger = open(vec![found("a", 0, 1, 4, running())], start);
+    let mut ledger = open(vec![attempt_report("a", 0, 1, 4, running())], start);
     ledger.mark_unreachable();
     assert!(ledger.expire_leases(true, start + Duration::from_secs(16)).is_empty());
     assert!(
         ledger.expire_leases(false, start + Duration::from_secs(17)).is_empty(),
-        "another host may have renewed it"
+        "another host may have renewed the lease"
     );
     assert_eq!(ledger.expire_leases(true, start + Duration::from_secs(17)).len(), 1);
     assert_eq!(ledger.commit(&order("b", 0, 1, 1), start + Duration::from_secs(17)), CommitResult::Closed);
 }
 
 #[test]
-fn a_worker_that_fails_different_workloads_gets_one_trial_at_a_time() {
+fn a_worker_that_fails_distinct_workloads_gets_one_trial_task_at_a_time() {
     let start = Instant::now();
     let failed = |workload: &str| {
-        found(workload, 0, 1, 1, AttemptState::Ended { end: End::Failed { message: "no such device".to_owned() } })
+        attempt_report(
+            workload,
+            0,
+            1,
+            1,
+            AttemptState::Ended { end: End::Failed { message: "no such device".to_owned() } },
+        )
     };
     let mut ledger = open(Vec::new(), start);
     ledger.apply_batch_reply(&[], report(vec![failed("a"), failed("b")]), start);
-    assert!(!ledger.on_probation(), "two workloads may both be bad");
+    assert!(!ledger.on_probation(), "two workloads may both be faulty");
     ledger.apply_batch_reply(&[], report(vec![failed("a"), failed("b"), failed("c")]), start);
     assert!(ledger.on_probation());
     assert_eq!(ledger.commit(&order("d", 0, 1, 1), start), CommitResult::Closed);
     let later = start + Duration::from_secs(11);
     assert_eq!(ledger.commit(&order("d", 0, 1, 1), later), CommitResult::Accepted);
-    assert_eq!(ledger.commit(&order("e", 0, 1, 1), later), CommitResult::Closed, "one trial at a time");
-    let good = report(vec![found("d", 0, 1, 1, AttemptState::Ended { end: End::Finished })]);
+    assert_eq!(ledger.commit(&order("e", 0, 1, 1), later), CommitResult::Closed, "one trial task at a time");
+    let success_report = report(vec![attempt_report("d", 0, 1, 1, AttemptState::Ended { end: End::Finished })]);
     let commands = ledger.commands(later);
-    ledger.apply_batch_reply(&commands, good, later);
-    assert!(!ledger.on_probation(), "it passed its trial");
+    ledger.apply_batch_reply(&commands, success_report, later);
+    assert!(!ledger.on_probation(), "the trial task succeeded");
     assert_eq!(ledger.commit(&order("e", 0, 1, 1), later), CommitResult::Accepted);
 }
 
 #[test]
-fn room_is_kept_for_the_senior_reservation_and_expires_by_itself() {
+fn a_senior_reservation_takes_precedence_and_expires() {
     let start = Instant::now();
     let mut ledger = open(Vec::new(), start);
     let reserve = |workload: &str, cores: u32, seniority: u64| ReserveOrder {
@@ -208,9 +214,9 @@
 #[test]
 fn only_patient_attempts_are_stopped_for_a_reservation() {
     let now = Instant::now();
-    let mut service = found("service", 0, 1, 8, running());
+    let mut service = attempt_report("service", 0, 1, 8, running());
     service.patient = false;
-    let mut ledger = open(vec![service, found("menus", 0, 1, 8, running())], now);
+    let mut ledger = open(vec![service, attempt_report("menus", 0, 1, 8, running())], now);
     let reserve = ReserveOrder {
         worker: "w".to_owned(),
         workload: "urgent".to_owned(),
@@ -224,27 +230,27 @@
 }
 
 #[test]
-fn a_service_instance_is_stopped_only_after_callers_were_led_elsewhere() {
+fn a_service_instance_is_stopped_only_after_the_drain_delay() {
     let now = Instant::now();
     let address = Some("127.0.0.1:1".parse().unwrap());
-    let mut ledger = open(vec![found("planner", 0, 1, 1, AttemptState::Running { address })], now);
+    let mut ledger = open(vec![attempt_report("planner", 0, 1, 1, AttemptState::Running { address })], now);
     ledger.stop(&task("planner", 0), attempt(1), now);
-    assert_eq!(state(&ledger, "planner"), Some(TaskState::Stopping), "told to the peers at once");
+    assert_eq!(state(&ledger, "planner"), Some(TaskState::Stopping), "published to the peers immediately");
     assert!(ledger.commands(now).is_empty());
     let drained = now + ledger::DRAIN_DELAY;
     assert!(ledger.has_urgent_commands(drained));
     assert!(ledger.commands(drained).iter().any(|command| matches!(command, Command::Stop { .. })));
-    assert!(!ledger.has_urgent_commands(drained), "sent; repeated with the renewals");
+    assert!(!ledger.has_urgent_commands(drained), "already sent; repeated only with the lease renewals");
 }
 
-/// A worker reduced to what the ledger can see of it.
+/// Simulates the part of a worker that the ledger interacts with.
 #[derive(Default)]
-struct Double {
+struct FakeWorker {
     tasks: BTreeMap<(Id, Attempt), AttemptReport>,
 }
 
-impl Double {
-    fn carry_out(&mut self, commands: &[Command]) {
+impl FakeWorker {
+    fn execute(&mut self, commands: &[Command]) {
         for command in commands {
             match command {
                 Command::Start { task, attempt, resources, .. } => {
@@ -313,27 +319,29 @@
 
 proptest! {
     #[test]
-    fn the_worker_is_never_overcommitted_whatever_is_lost(steps in prop::collection::vec(step(), 1..120)) {
+    fn the_worker_is_never_overcommitted_when_messages_are_lost(steps in prop::collection::vec(step(), 1..120)) {
         let now = Instant::now();
         let capacity = Resources::new(16, 65536, 0);
-        let mut double = Double::default();
+        let mut fake_worker = FakeWorker::default();
         let mut ledger = open(Vec::new(), now);
         for step in steps {
             match step {
                 Step::Start(index, cores) => { ledger.commit(&order("a", index, 1, cores), now); }
                 Step::Stop(index) => ledger.stop(&task("a", index), attempt(1), now),
-                Step::Finish(index) => double.end(&(task("a", index), attempt(1)), End::Finished),
+                Step::Finish(index) => fake_worker.end(&(task("a", index), attempt(1)), End::Finished),
                 Step::Acknowledge(index) => ledger.acknowledge(&task("a", index), attempt(1)),
                 Step::Batch => {
                     let commands = ledger.commands(now);
-                    double.carry_out(&commands);
-                    ledger.apply_batch_reply(&commands, double.report(), now);
+                    fake_worker.execute(&commands);
+                    ledger.apply_batch_reply(&commands, fake_worker.report(), now);
                 }
-                Step::BatchAnswerLost => double.carry_out(&ledger.commands(now)),
+                Step::BatchAnswerLost => fake_worker.execute(&ledger.commands(now)),
                 Step::BatchLost => { ledger.commands(now); }
-                Step::Takeover => ledger = Ledger::open("w".to_owned(), ledger.epoch() + 1, double.report(), LIMITS, now),
+                Step::Takeover => {
+                    ledger = Ledger::open("w".to_owned(), ledger.epoch() + 1, fake_worker.report(), LIMITS, now)
+                }
             }
-            prop_assert!(double.committed().fits_in(&capacity));
+            prop_assert!(fake_worker.committed().fits_in(&capacity));
             prop_assert!(ledger.free().fits_in(&capacity));
         }
     }
