--- a/components/member/src/digest.rs
+++ b/components/member/src/digest.rs
@@ -1,72 +1,72 @@
-//! What an entry host says about itself every few hundred milliseconds, over UDP.
+//! The heartbeat that entry hosts send to each other over UDP every few hundred milliseconds.
 
 use std::net::SocketAddr;
 
 use model::{CellId, DataCentreId, HostId, Incarnation, Revision};
 use serde::{Deserialize, Serialize};
 
-/// Whether a host takes new responsibilities.
+/// Whether a host accepts new responsibilities.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Presence {
-    /// It serves.
+    /// The host is in service.
     Serving,
-    /// It is on its way out: nothing new for it.
+    /// The host is shutting down and must get nothing new.
     Leaving,
-    /// It has stopped; this is its last digest.
+    /// The host has stopped, and this is its last digest.
     Gone,
 }
 
-/// Where a host can be reached.
+/// Name, location and addresses of an entry host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the host.
     pub host: HostId,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: DataCentreId,
-    /// The address of its peer port, the same number for UDP and TCP.
+    /// Address of the peer port, which has the same number for UDP and TCP.
     pub peers: SocketAddr,
-    /// The address where it takes requests relayed by other entry hosts.
+    /// Address that accepts requests relayed by other entry hosts.
     pub relay: SocketAddr,
 }
 
-/// One heartbeat.
+/// A heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// The cell; digests of another cell are dropped.
+    /// The cell of the sender. Receivers drop digests of other cells.
     pub cell: CellId,
     /// The sender.
     pub from: Peer,
-    /// Its present life.
+    /// The sender's incarnation, a new one after each restart.
     pub incarnation: Incarnation,
-    /// Grows by one with each digest of this life.
+    /// Number of the digest, increased by one with each digest of the same incarnation.
     pub sequence: u64,
-    /// Whether it takes new work.
+    /// Whether the sender accepts new work.
     pub presence: Presence,
-    /// Revision of the configuration that it has in force.
+    /// Revision of the configuration that the sender has applied.
     pub configuration: Revision,
-    /// Version of the facts that it publishes.
+    /// Version of the facts that the sender publishes.
     pub facts: u64,
-    /// What it last heard from each live host of its own data centre.
+    /// The last digest that the sender received from each live host of its own data centre.
     pub heard: Vec<LastHeard>,
-    /// Some other live hosts, so that a newcomer who knows one host comes to know all. Not in every digest.
+    /// Some other live hosts, so that a new host that knows one host learns of all. Empty in most digests.
     pub known: Vec<Peer>,
 }
 
-/// What was last heard from a host, kept short: it is most of a digest.
+/// The last digest received from a host, in a compact form because these entries make up most of a digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LastHeard {
-    /// Stands for its name.
+    /// Hash of the host's name.
     pub host: HostHash,
-    /// The last four bytes of its incarnation.
+    /// The low 32 bits of the host's incarnation.
     pub life: u32,
-    /// The sequence of its last digest.
+    /// Sequence number of the digest.
     pub sequence: u64,
 }
 
-/// Stands for a host's name where many names would be sent.
+/// Hash of a host's name, sent instead of the name to keep digests short.
 pub type HostHash = u32;
 
-/// The mark of a host's name.
+/// Computes the hash of a host's name.
 pub fn hash_host(host: &str) -> HostHash {
     xxhash_rust::xxh3::xxh3_64(host.as_bytes()) as HostHash
 }
--- a/components/member/src/lib.rs
+++ b/components/member/src/lib.rs
@@ -1,6 +1,7 @@
-//! Which entry hosts are live, as one entry host sees it, and who is responsible for what among them.
+//! Group membership and failure detection among entry hosts, and rendezvous hashing to divide work among them.
 //!
-//! Pure: digests and time go in, states come out. Sockets belong to the `node` package.
+//! This package does no I/O and never reads the clock. Callers pass in heartbeats and the current time, and get the
+//! states of the hosts back. The `node` package owns the sockets.
 
 mod digest;
 mod rendezvous;
--- a/components/member/src/table.rs
+++ b/components/member/src/table.rs
@@ -1,4 +1,4 @@
-//! The table of entry hosts, kept from their digests.
+//! The failure detector: tracks the other entry hosts by the digests they send.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -7,19 +7,19 @@
 
 use crate::digest::{Digest, HostHash, LastHeard, Peer, Presence, hash_host};
 
-/// Bounds of the failure detector.
+/// Timeouts of the failure detector.
 #[derive(Clone, Copy, Debug)]
 pub struct DetectorLimits {
-    /// A host that is silent for so long is taken for dead.
+    /// A host from which no digest arrives for this long is considered dead.
     pub dead_after: Duration,
-    /// The same for a host of another data centre, from where digests come less often.
+    /// The same for hosts of other data centres, which send digests less often.
     pub remote_dead_after: Duration,
-    /// Authority that rests on being heard by the peers ends after so long without their echo. Shorter
-    /// than `dead_after`, so that it ends before a peer can take over.
+    /// This host loses its authority when its peers have not echoed its digests for this long. Must be shorter than
+    /// `dead_after`, so that the authority ends before a peer can take over.
     pub echo_timeout: Duration,
-    /// Dead hosts are forgotten after so long.
+    /// Hosts that have been silent for this long are removed from the table.
     pub forget_after: Duration,
-    /// A longer gap between two looks at the clock is a pause of this host.
+    /// A longer interval between two ticks means that this host itself was paused.
     pub pause_threshold: Duration,
 }
 
@@ -35,79 +35,80 @@
     }
 }
 
-/// How one host is seen.
+/// The state of a host, as seen by this host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostState {
-    /// Heard lately, and serving.
+    /// Recently heard from, and in service.
     Live,
-    /// Heard lately, and on its way out.
+    /// Recently heard from, and shutting down.
     Leaving,
-    /// Silent for too long, or said that it is gone.
+    /// Silent for too long, or announced that it has stopped.
     Dead,
 }
 
-/// What is known of another entry host.
+/// What is known about another entry host.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Where it is.
+    /// Name, location and addresses.
     pub peer: Peer,
-    /// Its newest life heard of.
+    /// The newest incarnation heard from.
     pub incarnation: Incarnation,
-    /// Its last digest's sequence.
+    /// Sequence number of the last digest.
     pub sequence: u64,
-    /// What it last said of itself.
+    /// Presence announced in the last digest.
     pub presence: Presence,
-    /// When its last digest arrived.
+    /// When the last digest arrived, or when another host of its data centre last reported hearing it. Shifted by the
+    /// pauses of this host.
     pub heard_at: Instant,
-    /// Revision of the configuration that it has.
+    /// Revision of the configuration that the host has applied.
     pub configuration: Revision,
-    /// Version of the facts that it publishes.
+    /// Version of the facts that the host publishes.
     pub facts: u64,
-    /// The newest sequence of ours that it says it heard, and when we sent that.
+    /// Sequence number of the latest digest of this host that the member reported hearing, and when it was sent.
     pub echo: Option<(u64, Instant)>,
-    /// Marks of the hosts of its data centre that it says it hears.
+    /// Hashes of the hosts of its data centre that the member reported hearing.
     pub heard_hosts: BTreeSet<HostHash>,
 }
 
-/// All other entry hosts that this one knows of.
+/// The other entry hosts known to this host.
 #[derive(Debug)]
 pub struct MemberTable {
     own: Peer,
     incarnation: Incarnation,
     limits: DetectorLimits,
     members: BTreeMap<HostId, Member>,
-    /// When each of our latest digests was sent, to date the echoes by our own clock.
+    /// When this host sent its latest digests, by sequence number. Dates the echoes by the local clock.
     sent_at: BTreeMap<u64, Instant>,
-    /// When this host last looked at the clock.
+    /// Time of the last call of [`MemberTable::tick`].
     last_tick: Option<Instant>,
 }
 
 const MAX_SENT_RECORDS: usize = 64;
 
 impl MemberTable {
-    /// Creates an empty table for the host `own` in the life `incarnation`.
+    /// Creates an empty table for the host `own` with the given incarnation.
     pub fn new(own: Peer, incarnation: Incarnation, limits: DetectorLimits) -> MemberTable {
         MemberTable { own, incarnation, limits, members: BTreeMap::new(), sent_at: BTreeMap::new(), last_tick: None }
     }
 
-    /// Looks at the clock; call it often. After a pause of this host the silence of the others says nothing:
-    /// the time of the pause is not counted against them.
+    /// Advances the failure detector to `now`. Must be called often, because a long interval between two calls is taken
+    /// for a pause of this host. The time of a pause is not counted as silence of the other hosts.
     pub fn tick(&mut self, now: Instant) {
-        let gap = self.pause_before(now);
+        let paused = self.pause_before(now);
         for member in self.members.values_mut() {
-            member.heard_at += gap;
+            member.heard_at += paused;
         }
         self.last_tick = Some(now);
     }
 
-    /// How long this host was paused before `now`, since it last looked at the clock.
+    /// How long this host has been paused since the last tick; zero if the interval is too short for a pause.
     fn pause_before(&self, now: Instant) -> Duration {
         let Some(last_tick) = self.last_tick else { return Duration::ZERO };
-        let gap = now.saturating_duration_since(last_tick);
-        if gap > self.limits.pause_threshold { gap } else { Duration::ZERO }
+        let paused = now.saturating_duration_since(last_tick);
+        if paused > self.limits.pause_threshold { paused } else { Duration::ZERO }
     }
 
-    /// Notes that our digest `sequence` is sent now.
+    /// Records that the digest `sequence` of this host is sent at `now`.
     pub fn record_sent(&mut self, sequence: u64, now: Instant) {
         self.sent_at.insert(sequence, now);
         while self.sent_at.len() > MAX_SENT_RECORDS {
@@ -115,22 +116,23 @@
         }
     }
 
-    /// Takes a digest in. Tells whether the set of live hosts may have changed.
+    /// Processes a received digest. Returns whether the set of live hosts may have changed.
     ///
-    /// Digests of an older life, or older than the last one heard, are dropped: UDP may reorder them.
+    /// Digests of an older incarnation, or older than the last one received, are dropped, because UDP may reorder
+    /// them.
     pub fn receive(&mut self, digest: &Digest, now: Instant) -> bool {
         if digest.from.host == self.own.host {
             return false;
         }
         let before = self.state(&digest.from.host, now);
         let known = self.members.get(&digest.from.host);
-        let newer =
+        let is_newer =
             known.is_none_or(|member| (digest.incarnation, digest.sequence) > (member.incarnation, member.sequence));
-        if !newer {
+        if !is_newer {
             return false;
         }
         let echo = self.latest_echo(digest, known);
-        let replaced = known.is_some_and(|member| member.incarnation != digest.incarnation);
+        let restarted = known.is_some_and(|member| member.incarnation != digest.incarnation);
         let member = Member {
             peer: digest.from.clone(),
             incarnation: digest.incarnation,
@@ -144,16 +146,17 @@
         };
         self.members.insert(digest.from.host.clone(), member);
         self.refresh_remote_hosts(digest, now);
-        replaced || before != self.state(&digest.from.host, now)
+        restarted || before != self.state(&digest.from.host, now)
     }
 
-    /// A host of another data centre that hears its neighbours speaks for them: digests from afar come seldom.
+    /// Counts a digest from another data centre as a sign of life of all hosts that its sender hears there, because
+    /// hosts of other data centres send digests less often.
     fn refresh_remote_hosts(&mut self, digest: &Digest, now: Instant) {
-        let far = &digest.from.data_centre;
-        if *far == self.own.data_centre {
+        let data_centre = &digest.from.data_centre;
+        if *data_centre == self.own.data_centre {
             return;
         }
-        for member in self.members.values_mut().filter(|member| member.peer.data_centre == *far) {
+        for member in self.members.values_mut().filter(|member| member.peer.data_centre == *data_centre) {
             let host = hash_host(&member.peer.host);
             let life = member.incarnation as u32;
             if digest.heard.iter().any(|heard| heard.host == host && heard.life == life) {
@@ -162,8 +165,10 @@
         }
     }
 
-    /// The echo is dated by when *we* sent the digest that was heard: a digest held up on the way, or a
-    /// pause of ours, can't stretch the authority that rests on it.
+    /// The latest echo of this host's digests by the sender of `digest`.
+    ///
+    /// An echo is dated by the time at which this host sent the echoed digest. So neither a delayed digest nor a pause
+    /// of this host can extend its authority.
     fn latest_echo(&self, digest: &Digest, known: Option<&Member>) -> Option<(u64, Instant)> {
         let previous = known.filter(|member| member.incarnation == digest.incarnation).and_then(|member| member.echo);
         let (own, life) = (hash_host(&self.own.host), self.incarnation as u32);
@@ -175,7 +180,7 @@
         }
     }
 
-    /// The state of a host; `None` when it was never heard of.
+    /// The state of a host, or `None` if the host is unknown.
     pub fn state(&self, host: &str, now: Instant) -> Option<HostState> {
         if host == self.own.host {
             return Some(HostState::Live);
@@ -191,28 +196,28 @@
     }
 
     fn dead_after(&self, member: &Member) -> Duration {
-        let near = member.peer.data_centre == self.own.data_centre;
-        if near { self.limits.dead_after } else { self.limits.remote_dead_after }
+        let same_data_centre = member.peer.data_centre == self.own.data_centre;
+        if same_data_centre { self.limits.dead_after } else { self.limits.remote_dead_after }
     }
 
-    /// A host's entry.
+    /// The entry of a host.
     pub fn get(&self, host: &str) -> Option<&Member> {
         self.members.get(host)
     }
 
-    /// All entries, dead ones too.
+    /// All entries, including those of dead hosts.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// Other hosts that are live or leaving.
+    /// All other hosts that are not dead.
     pub fn reachable(&self, now: Instant) -> Vec<&Member> {
         let alive = |member: &&Member| self.state(&member.peer.host, now) != Some(HostState::Dead);
         self.members.values().filter(alive).collect()
     }
 
-    /// Names of the live hosts of a data centre, without the leaving ones; includes this host when it is
-    /// in that data centre and `own_serving`.
+    /// Sorted names of the live hosts of a data centre. Leaving hosts are left out. This host is included if it belongs
+    /// to that data centre and `own_serving` is true.
     pub fn live_hosts_in(&self, data_centre: &DataCentreId, own_serving: bool, now: Instant) -> Vec<HostId> {
         let mut names: Vec<HostId> = self
             .members
@@ -228,28 +233,29 @@
         names
     }
 
-    /// Whether this host may act as one that others would replace if they missed it: a quorum of the data
-    /// centre, this host included, has heard a digest of ours that was sent lately.
+    /// Whether this host may act on responsibilities that others would take over if it died: a quorum of the data
+    /// centre, including this host, has echoed a recent digest of this host.
     ///
-    /// The authority ends by our own clock before a quorum can have taken us for dead, also after a pause.
-    /// `delisted` tells hosts that the platform has taken off its list: they don't count any more.
+    /// By the local clock the authority ends before a quorum can consider this host dead, even after a pause.
+    /// `delisted` returns true for hosts that the platform has removed from its list; they don't count towards the
+    /// quorum.
     pub fn has_authority(&self, delisted: impl Fn(&str) -> bool, now: Instant) -> bool {
-        let known = self.eligible_members(delisted);
-        let echoing = known.iter().filter(|member| self.has_fresh_echo(member, now));
-        self.is_quorum(echoing.map(|member| member.peer.host.as_str()), &known)
+        let eligible = self.eligible_members(delisted);
+        let echoing = eligible.iter().filter(|member| self.has_fresh_echo(member, now));
+        self.is_quorum(echoing.map(|member| member.peer.host.as_str()), &eligible)
     }
 
-    /// The hosts of the own data centre among which responsibility for keys is divided. A silent host is left
-    /// out only when a quorum does not hear it, so that it has lost its own authority before.
+    /// Sorted names of the hosts of this data centre among which the responsibility for keys is divided. A silent host
+    /// is left out only once a quorum no longer hears it. By then it has lost its own authority.
     pub fn responsible_hosts(&self, own_serving: bool, delisted: impl Fn(&str) -> bool, now: Instant) -> Vec<HostId> {
-        let known = self.eligible_members(delisted);
+        let eligible = self.eligible_members(delisted);
         let mut hosts = Vec::new();
-        for member in &known {
+        for member in &eligible {
             let host = member.peer.host.as_str();
             let live = match self.state(host, now) {
                 Some(HostState::Live) => true,
                 Some(HostState::Leaving) => false,
-                _ => member.presence == Presence::Serving && !self.quorum_misses(host, &known, now),
+                _ => member.presence == Presence::Serving && !self.quorum_misses(host, &eligible, now),
             };
             if live {
                 hosts.push(host.to_owned());
@@ -262,31 +268,31 @@
         hosts
     }
 
-    /// Whether a quorum does not hear a host that this one does not hear either.
-    fn quorum_misses(&self, host: &str, known: &[&Member], now: Instant) -> bool {
-        let missing = known.iter().filter(|member| {
+    /// Whether a quorum, including this host, does not hear a host. The caller has checked that this host doesn't.
+    fn quorum_misses(&self, host: &str, eligible: &[&Member], now: Instant) -> bool {
+        let not_hearing = eligible.iter().filter(|member| {
             let heard = self.state(&member.peer.host, now).is_some_and(|state| state != HostState::Dead);
             heard && !member.heard_hosts.contains(&hash_host(host))
         });
-        self.is_quorum(missing.map(|member| member.peer.host.as_str()), known)
+        self.is_quorum(not_hearing.map(|member| member.peer.host.as_str()), eligible)
     }
 
-    /// Other hosts of the own data centre that may act: all but those that said they are gone, or that the
-    /// platform has delisted.
+    /// Other hosts of this data centre that count towards the quorum: all except those that have announced their end or
+    /// that the platform has delisted.
     fn eligible_members(&self, delisted: impl Fn(&str) -> bool) -> Vec<&Member> {
         let own = &self.own.data_centre;
         let members = self.members.values().filter(|member| member.peer.data_centre == *own);
         members.filter(|member| member.presence != Presence::Gone && !delisted(&member.peer.host)).collect()
     }
 
-    /// Whether `others` and this host are more than half of all, or half of them with the one that comes first
-    /// by name: two such sets always have a host in common.
-    fn is_quorum<'a>(&'a self, others: impl Iterator<Item = &'a str>, known: &[&'a Member]) -> bool {
+    /// Whether `others` and this host form a quorum of `eligible` and this host: more than half of all hosts, or
+    /// exactly half if the first host by name is among them. Any two quorums have a host in common.
+    fn is_quorum<'a>(&'a self, others: impl Iterator<Item = &'a str>, eligible: &[&'a Member]) -> bool {
         let own = self.own.host.as_str();
         let set: BTreeSet<&str> = others.chain([own]).collect();
-        let all = known.len() + 1;
-        let first = known.iter().map(|member| member.peer.host.as_str()).chain([own]).min();
-        2 * set.len() > all || (2 * set.len() == all && first.is_some_and(|first| set.contains(first)))
+        let total = eligible.len() + 1;
+        let first = eligible.iter().map(|member| member.peer.host.as_str()).chain([own]).min();
+        2 * set.len() > total || (2 * set.len() == total && first.is_some_and(|first| set.contains(first)))
     }
 
     fn has_fresh_echo(&self, member: &Member, now: Instant) -> bool {
@@ -294,7 +300,7 @@
         now.saturating_duration_since(sent_at) <= self.limits.echo_timeout
     }
 
-    /// What our next digest says it heard in the own data centre.
+    /// The hosts of this data centre that are not dead, as reported in the next digest.
     pub fn heard_hosts(&self, now: Instant) -> Vec<LastHeard> {
         self.reachable(now)
             .into_iter()
@@ -307,7 +313,7 @@
             .collect()
     }
 
-    /// Forgets hosts that have been dead for long.
+    /// Removes hosts that have been silent for longer than `forget_after`.
     pub fn remove_expired(&mut self, now: Instant) {
         let limit = self.limits.forget_after;
         self.members.retain(|_, member| now.saturating_duration_since(member.heard_at) < limit);
--- a/components/member/tests/table.rs
+++ b/components/member/tests/table.rs
@@ -1,4 +1,4 @@
-//! The failure detector: silence, echoes, reordering and new lives.
+//! Tests of the failure detector and of rendezvous hashing.
 
 use std::time::{Duration, Instant};
 
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_silent_host_is_dead_after_the_limit_and_not_before() {
+fn a_silent_host_is_dead_only_after_the_timeout() {
     let (mut table, now) = (table(), Instant::now());
     table.receive(&digest("b", 1, 1), now);
     assert_eq!(table.state("b", now + Duration::from_millis(1900)), Some(HostState::Live));
@@ -44,9 +44,9 @@
 }
 
 #[test]
-fn a_lossy_link_does_not_flap_a_host() {
+fn a_host_does_not_flap_on_a_lossy_link() {
     let (mut table, start) = (table(), Instant::now());
-    // Of the digests sent every 200 ms only every eighth arrives.
+    // Digests are sent every 200 ms, but only every eighth one arrives.
     for round in 0..20u64 {
         let now = start + Duration::from_millis(200 * 8 * round);
         table.receive(&digest("b", 1, round * 8 + 1), now);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn an_older_digest_or_life_changes_nothing() {
+fn a_digest_with_an_older_sequence_or_incarnation_is_ignored() {
     let (mut table, now) = (table(), Instant::now());
     let mut leaving = digest("b", 2, 5);
     leaving.presence = Presence::Leaving;
@@ -63,7 +63,7 @@
     assert!(!table.receive(&digest("b", 2, 4), now));
     assert!(!table.receive(&digest("b", 1, 99), now));
     assert_eq!(table.state("b", now), Some(HostState::Leaving));
-    assert!(table.receive(&digest("b", 3, 1), now), "a new life is news");
+    assert!(table.receive(&digest("b", 3, 1), now), "a new incarnation may change the live hosts");
     assert_eq!(table.state("b", now), Some(HostState::Live));
 }
 
@@ -74,14 +74,14 @@
     let mut echo = digest("b", 1, 1);
     echo.heard = vec![heard("a", 7, 1)];
     table.receive(&echo, start);
-    // Of two hosts `a` comes first by name, but it needs the other: `b` alone is no quorum, `a` alone is one.
+    // `a` is the first of the two hosts by name, so it is a quorum alone, while `b` alone is not.
     assert!(table.has_authority(|_| false, start + Duration::from_millis(900)));
     let limits = DetectorLimits::default();
     assert!(limits.echo_timeout < limits.dead_after);
 }
 
 #[test]
-fn an_echo_of_an_earlier_life_gives_no_authority() {
+fn an_echo_of_a_previous_incarnation_gives_no_authority() {
     let (mut table, now) = (table(), Instant::now());
     table.record_sent(1, now);
     let mut echo = digest("b", 1, 1);
@@ -91,106 +91,110 @@
     assert!(!table.has_authority(|_| false, now));
 }
 
-/// A table of the host `own`, with digests of the others heard now, which hear each other but not `missed`.
-fn seen_by(own: &str, others: &[&str], missed: &str, now: Instant) -> MemberTable {
+/// The table of the host `own` after it received a digest of each of `others` at `now`. These hosts hear all hosts but
+/// `unheard`.
+fn table_after_digests(own: &str, others: &[&str], unheard: &str, now: Instant) -> MemberTable {
     let mut table = MemberTable::new(peer(own), 7, DetectorLimits::default());
     table.tick(now);
     table.record_sent(1, now);
     for other in others {
-        let mut said = digest(other, 1, 1);
-        let hears = others.iter().chain([&own]).filter(|host| **host != *other && **host != missed);
-        said.heard = hears.map(|host| heard(host, 7, 1)).collect();
-        table.receive(&said, now);
+        let mut digest_of_other = digest(other, 1, 1);
+        let hears = others.iter().chain([&own]).filter(|host| **host != *other && **host != unheard);
+        digest_of_other.heard = hears.map(|host| heard(host, 7, 1)).collect();
+        table.receive(&digest_of_other, now);
     }
     table
 }
 
 #[test]
-fn authority_needs_a_quorum_that_heard_us_lately() {
+fn authority_requires_recent_echoes_from_a_quorum() {
     let now = Instant::now();
-    let table = seen_by("a", &["b", "c", "d"], "none", now);
+    let table = table_after_digests("a", &["b", "c", "d"], "none", now);
     assert!(table.has_authority(|_| false, now));
     assert!(!table.has_authority(|_| false, now + Duration::from_millis(1001)));
-    assert!(!seen_by("a", &["b", "c", "d"], "a", now).has_authority(|_| false, now), "none of them hears us");
+    assert!(
+        !table_after_digests("a", &["b", "c", "d"], "a", now).has_authority(|_| false, now),
+        "no other host hears this host"
+    );
 }
 
 #[test]
-fn a_host_cut_off_from_its_peers_never_acts_beside_them() {
+fn an_isolated_host_has_no_authority() {
     let now = Instant::now();
     let later = now + Duration::from_millis(3000);
-    // All others have become silent at once: is it them, or us? Without a quorum nothing may be done.
-    let mut table = seen_by("b", &["a", "c"], "none", now);
+    // All other hosts have become silent at once. They may have failed, or this host may be cut off from them.
+    let mut table = table_after_digests("b", &["a", "c"], "none", now);
     table.tick(later);
     assert!(!table.has_authority(|_| false, later));
-    assert!(table.has_authority(|host| host == "a" || host == "c", later), "the platform has delisted them");
+    assert!(table.has_authority(|host| host == "a" || host == "c", later), "the platform has delisted the others");
 }
 
 #[test]
-fn of_two_halves_only_the_one_with_the_first_host_acts() {
+fn of_two_equal_halves_only_the_one_with_the_first_host_has_authority() {
     let now = Instant::now();
     let later = now + Duration::from_millis(3000);
-    let alone = |own: &str, other: &str| {
-        let mut table = seen_by(own, &[other], "none", now);
+    let has_authority_alone = |own: &str, other: &str| {
+        let mut table = table_after_digests(own, &[other], "none", now);
         table.tick(later);
         table.has_authority(|_| false, later)
     };
-    assert!(alone("a", "b"));
-    assert!(!alone("b", "a"));
+    assert!(has_authority_alone("a", "b"));
+    assert!(!has_authority_alone("b", "a"));
 }
 
 #[test]
-fn a_host_keeps_its_keys_until_a_quorum_misses_it() {
+fn a_host_keeps_its_keys_until_a_quorum_stops_hearing_it() {
     let now = Instant::now();
-    let hear_again = |missed: &str| {
-        let mut table = seen_by("a", &["b", "c", "d"], "none", now);
+    let responsible_after = |unheard: &str| {
+        let mut table = table_after_digests("a", &["b", "c", "d"], "none", now);
         for step in 1..=25u64 {
             let at = now + Duration::from_millis(step * 100);
             table.tick(at);
             for other in ["b", "c"] {
-                let mut said = digest(other, 1, step + 1);
-                let hears = ["a", "b", "c", "d"].into_iter().filter(|host| *host != other && *host != missed);
-                said.heard = hears.map(|host| heard(host, 1, step)).collect();
-                table.receive(&said, at);
+                let mut digest_of_other = digest(other, 1, step + 1);
+                let hears = ["a", "b", "c", "d"].into_iter().filter(|host| *host != other && *host != unheard);
+                digest_of_other.heard = hears.map(|host| heard(host, 1, step)).collect();
+                table.receive(&digest_of_other, at);
             }
         }
         table.responsible_hosts(true, |_| false, now + Duration::from_millis(2500))
     };
-    assert_eq!(hear_again("none"), ["a", "b", "c", "d"], "only we don't hear it");
-    assert_eq!(hear_again("d"), ["a", "b", "c"]);
+    assert_eq!(responsible_after("none"), ["a", "b", "c", "d"], "only this host does not hear `d`");
+    assert_eq!(responsible_after("d"), ["a", "b", "c"]);
 }
 
 #[test]
-fn a_far_host_speaks_for_its_neighbours() {
+fn digests_of_a_remote_host_keep_the_hosts_that_it_hears_alive() {
     let (mut table, start) = (table(), Instant::now());
-    let far = |host: &str, sequence: u64, hears: &[&str]| {
-        let mut said = digest(host, 1, sequence);
-        said.from.data_centre = "gt-2".to_owned();
-        said.heard = hears.iter().map(|host| heard(host, 1, 1)).collect();
-        said
+    let remote_digest = |host: &str, sequence: u64, hears: &[&str]| {
+        let mut digest_of_other = digest(host, 1, sequence);
+        digest_of_other.from.data_centre = "gt-2".to_owned();
+        digest_of_other.heard = hears.iter().map(|host| heard(host, 1, 1)).collect();
+        digest_of_other
     };
-    table.receive(&far("x", 1, &[]), start);
-    table.receive(&far("y", 1, &[]), start);
+    table.receive(&remote_digest("x", 1, &[]), start);
+    table.receive(&remote_digest("y", 1, &[]), start);
     for second in 1..=20u64 {
         let now = start + Duration::from_secs(second);
         table.tick(now);
-        table.receive(&far("x", 1 + second, &["y"]), now);
+        table.receive(&remote_digest("x", 1 + second, &["y"]), now);
         assert_eq!(table.state("y", now), Some(HostState::Live));
     }
     for second in 21..=30u64 {
         table.tick(start + Duration::from_secs(second));
-        table.receive(&far("x", 1 + second, &[]), start + Duration::from_secs(second));
+        table.receive(&remote_digest("x", 1 + second, &[]), start + Duration::from_secs(second));
     }
     assert_eq!(table.state("y", start + Duration::from_secs(30)), Some(HostState::Dead));
 }
 
 #[test]
-fn a_host_that_was_paused_itself_takes_nobody_for_dead() {
+fn a_paused_host_does_not_declare_others_dead() {
     let (mut table, start) = (table(), Instant::now());
     let at = |millis| start + Duration::from_millis(millis);
     table.tick(start);
     table.receive(&digest("b", 1, 1), at(100));
     table.tick(at(200));
-    // Frozen for a minute: even the first look, before anything else ran, must not find others dead.
+    // The host was paused for a minute. Even a query before the first tick after the pause must not find others dead.
     assert_eq!(table.state("b", at(60_200)), Some(HostState::Live));
     table.tick(at(60_200));
     assert_eq!(table.state("b", at(60_300)), Some(HostState::Live));
@@ -201,7 +205,7 @@
 }
 
 #[test]
-fn a_host_that_goes_moves_only_its_own_part() {
+fn removing_a_host_moves_only_its_own_keys() {
     let all = ["a", "b", "c", "d"];
     let without_b = ["a", "c", "d"];
     let mut moved = 0;
@@ -215,5 +219,5 @@
             assert_eq!(before, after);
         }
     }
-    assert!((150..350).contains(&moved), "about a quarter, not {moved}");
+    assert!((150..350).contains(&moved), "expected about a quarter of the keys to move, but {moved} did");
 }
