--- a/components/jobs/tests/two_places.rs
+++ b/components/jobs/tests/two_places.rs
@@ -151,8 +151,8 @@
         self.mark_missing();
     }
 
-    /// Marks attempts as lost that a reachable holder does not list. The node does the same with the complete inventory of
-    /// a holder.
+    /// Marks attempts as lost that a reachable holder does not list. The node does the same with the complete inventory
+    /// of a holder.
     fn mark_missing(&mut self) {
         let mut missing = Vec::new();
         for (task, attempt, worker) in self.tracker.possibly_live_attempts() {
--- a/components/ledger/examples/decisions.rs
+++ b/components/ledger/examples/decisions.rs
@@ -57,8 +57,8 @@
     }
 }
 
-/// Starts `running` tasks, then measures `count` decisions with their commits. After each decision the oldest task ends,
-/// so that the workers stay equally full.
+/// Starts `running` tasks, then measures `count` decisions with their commits. After each decision the oldest task
+/// ends, so that the workers stay equally full.
 fn measure_decisions(workers: usize, running: usize, count: usize) {
     let now = Instant::now();
     let mut random = StdRng::seed_from_u64(SEED);
--- a/components/member/src/table.rs
+++ b/components/member/src/table.rs
@@ -186,10 +186,10 @@
             return Some(HostState::Live);
         }
         let member = self.members.get(host)?;
-        let silent = now.saturating_duration_since(member.heard_at + self.pause_before(now));
+        let silence = now.saturating_duration_since(member.heard_at + self.pause_before(now));
         Some(match member.presence {
             Presence::Gone => HostState::Dead,
-            _ if silent > self.dead_after(member) => HostState::Dead,
+            _ if silence > self.dead_after(member) => HostState::Dead,
             Presence::Leaving => HostState::Leaving,
             Presence::Serving => HostState::Live,
         })
@@ -252,12 +252,12 @@
         let mut hosts = Vec::new();
         for member in &eligible {
             let host = member.peer.host.as_str();
-            let live = match self.state(host, now) {
+            let included = match self.state(host, now) {
                 Some(HostState::Live) => true,
                 Some(HostState::Leaving) => false,
                 _ => member.presence == Presence::Serving && !self.quorum_misses(host, &eligible, now),
             };
-            if live {
+            if included {
                 hosts.push(host.to_owned());
             }
         }
--- a/components/member/tests/table.rs
+++ b/components/member/tests/table.rs
@@ -201,7 +201,7 @@
     for step in 0..25 {
         table.tick(at(60_300 + step * 100));
     }
-    assert_eq!(table.state("b", at(62_800)), Some(HostState::Dead), "silent while this host was awake");
+    assert_eq!(table.state("b", at(62_800)), Some(HostState::Dead), "silent while this host was running");
 }
 
 #[test]
