--- a/components/gateway/src/keyed.rs
+++ b/components/gateway/src/keyed.rs
@@ -10,7 +10,7 @@
 use http::{HeaderMap, Response, StatusCode};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
-use member::winner;
+use member::highest_ranked;
 use model::DataCentreId;
 use parking_lot::Mutex;
 use request::{BeginOutcome, ClassIndex, IdempotencyKey, IdempotencyStore, KeyStatus, SlotRequest};
@@ -133,7 +133,7 @@
         Some(name) => return Err(format!("the Idempotency-Key names no data centre of this cell: {name}")),
         None => {
             let configured = gateway.data_centres.iter().map(String::as_str);
-            winner(&key.text(), configured).unwrap_or(&gateway.data_centre).to_owned()
+            highest_ranked(&key.text(), configured).unwrap_or(&gateway.data_centre).to_owned()
         }
     };
     Ok(Addressed { key, data_centre })
