--- a/components/node/src/answer.rs
+++ b/components/node/src/answer.rs
@@ -6,7 +6,7 @@
 use wire::{Answer, Request};
 
 use crate::shared::Shared;
-use crate::{holds, show};
+use crate::{held_workers, show};
 
 pub(crate) async fn answer(shared: &Arc<Shared>, request: Request) -> Answer {
     match request {
@@ -16,27 +16,27 @@
             if shared.listing.version() <= since {
                 return Answer::Done;
             }
-            let (version, hosts) = shared.listing.whole();
+            let (version, hosts) = shared.listing.all();
             Answer::List(version, hosts)
         }
-        Request::Announce { partition, epoch } => Answer::Inventory(holds::announce(shared, partition, epoch)),
-        Request::Epochs => Answer::Epochs(shared.holds.epochs()),
+        Request::Announce { partition, epoch } => Answer::Inventory(held_workers::announce(shared, partition, epoch)),
+        Request::Epochs => Answer::Epochs(shared.held_workers.epochs()),
         Request::Start { partition, epoch, orders } => {
-            let (answers, version) = holds::start(shared, partition, epoch, &orders, Instant::now());
+            let (answers, version) = held_workers::start(shared, partition, epoch, &orders, Instant::now());
             Answer::Started(answers, version)
         }
         Request::Reserve { partition, epoch, orders } => {
-            Answer::Reserved(holds::reserve(shared, partition, epoch, &orders, Instant::now()))
+            Answer::Reserved(held_workers::reserve(shared, partition, epoch, &orders, Instant::now()))
         }
         Request::Stop { partition, epoch, orders } => {
-            holds::stop(shared, partition, epoch, &orders);
+            held_workers::stop(shared, partition, epoch, &orders);
             Answer::Done
         }
         Request::Acknowledge { ends } => {
-            holds::acknowledge(shared, &ends);
+            held_workers::acknowledge(shared, &ends);
             Answer::Done
         }
-        Request::Show { statement } => match show::local(shared, &statement) {
+        Request::Show { statement } => match show::local_rows(shared, &statement) {
             Ok(rows) => Answer::Rows(rows),
             Err(why) => Answer::Refused(why),
         },
--- a/components/node/src/claims.rs
+++ b/components/node/src/claims.rs
@@ -12,28 +12,28 @@
 use store::{Compare, Put, Txn, Use};
 use uuid::Uuid;
 
-use crate::keys::{self, Place};
-use crate::owner::Owned;
+use crate::keys::{self, RecordKey};
+use crate::owner::OwnedPartition;
 use crate::shared::Shared;
 
 /// A claim is acted on only with the configuration of its revision in force, which comes within this time.
-const IN_FORCE: Duration = Duration::from_secs(2);
+const CONFIGURATION_TIMEOUT: Duration = Duration::from_secs(2);
 /// Partitions stay with a live owner for so long after another host should have them, so that hosts that
 /// come and go don't make them move to and fro.
-const SETTLED: Duration = Duration::from_secs(2);
+const RELEASE_DELAY: Duration = Duration::from_secs(2);
 
 /// What to do about each partition.
-pub(crate) fn steps(shared: &Shared) -> Vec<(Partition, Step)> {
+pub(crate) fn next_steps(shared: &Shared) -> Vec<(Partition, Step)> {
     if shared.configuration.revision() == 0 {
         return Vec::new();
     }
     let hosts = shared.membership.live_in(shared.data_centre());
-    let settled = {
-        let mut settled = shared.partitions.settled.lock();
-        if settled.0 != hosts {
-            *settled = (hosts.clone(), Instant::now());
+    let stable = {
+        let mut live_hosts = shared.partitions.live_hosts.lock();
+        if live_hosts.0 != hosts {
+            *live_hosts = (hosts.clone(), Instant::now());
         }
-        settled.1.elapsed() >= SETTLED
+        live_hosts.1.elapsed() >= RELEASE_DELAY
     };
     let mut steps = Vec::new();
     for number in shared.partitions.numbers() {
@@ -46,8 +46,8 @@
             owner_live: claim.as_ref().is_some_and(|claim| owner_live(shared, claim)),
         };
         match claim::next_step(view) {
-            Step::Leave => drop_lost(shared, number),
-            Step::Release if !settled && shared.membership.presence() == Presence::Serving => {}
+            Step::Leave => drop_partition(shared, number),
+            Step::Release if !stable && shared.membership.presence() == Presence::Serving => {}
             step => steps.push((number, step)),
         }
     }
@@ -65,35 +65,35 @@
 }
 
 /// The record names another owner: this host has none of it any more.
-pub(crate) fn drop_lost(shared: &Shared, number: Partition) {
+pub(crate) fn drop_partition(shared: &Shared, number: Partition) {
     if shared.partitions.set(number, None) {
         events::emit!(shared.log, events::PARTITION_RELEASED, "partition" => number);
     }
 }
 
 /// Claims partitions, all in one transaction; when that fails, each on its own.
-pub(crate) async fn take(shared: &Arc<Shared>, steps: &[(Partition, Step)]) {
-    let mut wanted: Vec<(Partition, Claim)> = Vec::new();
+pub(crate) async fn take_partitions(shared: &Arc<Shared>, steps: &[(Partition, Step)]) {
+    let mut to_claim: Vec<(Partition, Claim)> = Vec::new();
     for (number, step) in steps {
-        let owned_epoch = shared.partitions.with(*number, |owned| owned.book.epoch());
+        let owned_epoch = shared.partitions.with(*number, |owned| owned.tracker.epoch());
         match step {
             Step::Take(epoch) if owned_epoch.is_none_or(|owned| owned < *epoch) => {
                 let claim = Claim { owner: Some(shared.owner.clone()), epoch: *epoch, change: Uuid::new_v4() };
-                wanted.push((*number, claim));
+                to_claim.push((*number, claim));
             }
-            Step::Keep if owned_epoch.is_none() => adopt(shared, *number).await,
+            Step::Keep if owned_epoch.is_none() => adopt_claim(shared, *number).await,
             _ => {}
         }
     }
-    if wanted.is_empty() {
+    if to_claim.is_empty() {
         return;
     }
-    if write_claims(shared, &wanted).await {
+    if write_claims(shared, &to_claim).await {
         return;
     }
-    for one in &wanted {
-        if wanted.len() > 1 {
-            write_claims(shared, std::slice::from_ref(one)).await;
+    for single in &to_claim {
+        if to_claim.len() > 1 {
+            write_claims(shared, std::slice::from_ref(single)).await;
         }
     }
 }
@@ -102,11 +102,11 @@
 async fn write_claims(shared: &Arc<Shared>, claims: &[(Partition, Claim)]) -> bool {
     let txn = claims_txn(shared, claims);
     let outcome = shared.store.txn(Use::Claims, &txn).await;
-    shared.platform_said(&outcome);
+    shared.record_platform_result(&outcome);
     match outcome {
         Ok(outcome) if outcome.succeeded => {
             for (number, claim) in claims {
-                own(shared, *number, claim, outcome.revision).await;
+                open_partition(shared, *number, claim, outcome.revision).await;
             }
             true
         }
@@ -123,11 +123,11 @@
 }
 
 fn claims_txn(shared: &Shared, claims: &[(Partition, Claim)]) -> Txn {
-    let prefix = keys::prefix(&shared.settings.cell);
+    let prefix = keys::cell_prefix(&shared.settings.cell);
     let mut txn = Txn::default();
     for (number, claim) in claims {
-        let place = Place::Claim(shared.data_centre().clone(), *number);
-        let key = format!("{prefix}{}", place.key());
+        let record_key = RecordKey::Claim(shared.data_centre().clone(), *number);
+        let key = format!("{prefix}{}", record_key.key());
         let known = shared.configuration.claim(shared.data_centre(), *number);
         txn.compares.push(Compare { key: key.clone(), mod_revision: known.map_or(0, |(_, revision)| revision) });
         txn.puts.push(Put { key, value: keys::encode(claim), lease: 0 });
@@ -137,50 +137,50 @@
 
 /// Settles a lost answer: a claim is owned when the record has its change id.
 async fn read_back(shared: &Arc<Shared>, claims: &[(Partition, Claim)]) {
-    let prefix = keys::prefix(&shared.settings.cell);
+    let prefix = keys::cell_prefix(&shared.settings.cell);
     for (number, claim) in claims {
-        let key = format!("{prefix}{}", Place::Claim(shared.data_centre().clone(), *number).key());
+        let key = format!("{prefix}{}", RecordKey::Claim(shared.data_centre().clone(), *number).key());
         let Ok(entry) = shared.store.get(Use::Claims, &key).await else { continue };
         let recorded: Option<Claim> = keys::decode(&entry.value).ok();
         if recorded.is_some_and(|recorded| recorded.change == claim.change) {
-            own(shared, *number, claim, entry.mod_revision).await;
+            open_partition(shared, *number, claim, entry.mod_revision).await;
         }
     }
 }
 
 /// A claim of this life whose answer never came, seen in the configuration now.
-async fn adopt(shared: &Arc<Shared>, number: Partition) {
+async fn adopt_claim(shared: &Arc<Shared>, number: Partition) {
     let Some((claim, revision)) = shared.configuration.claim(shared.data_centre(), number) else { return };
     if claim.owner.as_ref() == Some(&shared.owner) {
-        own(shared, number, &claim, revision).await;
+        open_partition(shared, number, &claim, revision).await;
     }
 }
 
 /// Opens the book of a partition that this host just claimed. With an older configuration it would take
 /// running tasks for strays and finished ones for waiting; then the next look tries again.
-async fn own(shared: &Arc<Shared>, number: Partition, claim: &Claim, revision: Revision) {
-    if !shared.configuration.reached(revision, IN_FORCE).await {
+async fn open_partition(shared: &Arc<Shared>, number: Partition, claim: &Claim, revision: Revision) {
+    if !shared.configuration.wait_for_revision(revision, CONFIGURATION_TIMEOUT).await {
         return;
     }
     let now = Instant::now();
-    shared.holds.raise(number, claim.epoch);
-    let mut book = JobTracker::new(claim.epoch, shared.data_centre().clone());
+    shared.held_workers.raise_epoch(number, claim.epoch);
+    let mut tracker = JobTracker::new(claim.epoch, shared.data_centre().clone());
     let count = shared.settings.tasks.partitions;
     for versioned in shared.configuration.workloads() {
         let name = &versioned.record.workload.name;
         if partition(name, count) == number && versioned.record.shares.contains_key(shared.data_centre()) {
             let fresh = versioned.revision > revision;
             let progress = shared.configuration.progress(shared.data_centre(), name);
-            book.apply(versioned.as_ref().clone(), progress.as_ref(), fresh, now);
+            tracker.apply(versioned.as_ref().clone(), progress.as_ref(), fresh, now);
         }
     }
-    let owned = Owned {
-        book,
-        authority: Authority::new(shared.pause_bound(), now),
-        revision,
-        shown: HashMap::new(),
+    let owned = OwnedPartition {
+        tracker,
+        authority: Authority::new(shared.max_clock_gap(), now),
+        claim_revision: revision,
+        visible_from: HashMap::new(),
         compared_at: now,
-        unrecorded: BTreeSet::new(),
+        unrecorded_lives: BTreeSet::new(),
     };
     shared.partitions.set(number, Some(owned));
     events::emit!(shared.log, events::PARTITION_OWNED, "partition" => number, "epoch" => claim.epoch);
@@ -188,16 +188,16 @@
 
 /// Gives partitions up, so that their next owner need not wait.
 pub(crate) async fn release(shared: &Arc<Shared>, steps: &[(Partition, Step)]) {
-    let mut released = Vec::new();
+    let mut to_release = Vec::new();
     for (number, _) in steps.iter().filter(|(_, step)| *step == Step::Release) {
         let Some((claim, _)) = shared.configuration.claim(shared.data_centre(), *number) else { continue };
         // The record changes only after this host stopped acting on it.
-        drop_lost(shared, *number);
-        released.push((*number, Claim { owner: None, epoch: claim.epoch, change: Uuid::new_v4() }));
+        drop_partition(shared, *number);
+        to_release.push((*number, Claim { owner: None, epoch: claim.epoch, change: Uuid::new_v4() }));
     }
-    if released.is_empty() {
+    if to_release.is_empty() {
         return;
     }
-    let outcome = shared.store.txn(Use::Claims, &claims_txn(shared, &released)).await;
-    shared.platform_said(&outcome);
+    let outcome = shared.store.txn(Use::Claims, &claims_txn(shared, &to_release)).await;
+    shared.record_platform_result(&outcome);
 }
--- a/components/node/src/commands.rs
+++ b/components/node/src/commands.rs
@@ -13,18 +13,18 @@
 use serde::Deserialize;
 use store::Use;
 
-use crate::commit::{Change, Committed, settle};
-use crate::keys::{self, Drain, Place, Receipt, Team};
+use crate::commit::{Change, CommitOutcome, resolve_outcome};
+use crate::keys::{self, Drain, Receipt, RecordKey, Team};
 use crate::shared::Shared;
 use crate::show;
 
 /// An accepted change is in force at this host within this time, or its outcome says so.
-const IN_FORCE: Duration = Duration::from_secs(2);
+const CONFIGURATION_TIMEOUT: Duration = Duration::from_secs(2);
 /// When to come back after a refusal by an outage.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 const MIB: u64 = 1024 * 1024;
 /// The beginning of 2026, in seconds of Unix time.
-const LIVES_FROM: u64 = 1_767_225_600;
+const LIFE_EPOCH: u64 = 1_767_225_600;
 
 /// Carries out one statement.
 pub(crate) async fn execute(shared: &Arc<Shared>, command: Command) -> Outcome {
@@ -33,35 +33,35 @@
         Err(fault) => return Outcome::not_done(fault.to_string()),
     };
     if !statement.is_command() {
-        return shown(show::everywhere(shared, &statement, &command.statement).await);
+        return table_outcome(show::show_all_hosts(shared, &statement, &command.statement).await);
     }
-    catch_up(shared, &statement).await;
-    let change = match plan(shared, &statement, &command) {
+    wait_for_workload(shared, &statement).await;
+    let change = match plan_change(shared, &statement, &command) {
         Ok(change) => change,
         Err(why) => return refuse(shared, &command, why, None),
     };
     let committed = shared.committer.commit(change.clone()).await;
-    conclude(shared, &command, &change, committed).await
+    finish_command(shared, &command, &change, committed).await
 }
 
 /// A record that another entry host accepted a moment ago may not have come here yet: before it is said that
 /// there is none, the platform is asked.
-async fn catch_up(shared: &Shared, statement: &Statement) {
-    let named = match statement {
+async fn wait_for_workload(shared: &Shared, statement: &Statement) {
+    let name = match statement {
         Statement::Cancel { workload, .. } => workload,
         Statement::Change { subject: Subject::Workload(workload), .. } => workload,
         _ => return,
     };
-    if shared.configuration.workload(named).is_some() {
+    if shared.configuration.workload(name).is_some() {
         return;
     }
-    let key = format!("{}{}", keys::prefix(&shared.settings.cell), Place::Workload(named.clone()).key());
+    let key = format!("{}{}", keys::cell_prefix(&shared.settings.cell), RecordKey::Workload(name.clone()).key());
     if let Ok(entry) = shared.store.get(Use::Acceptance, &key).await {
-        shared.configuration.reached(entry.mod_revision, IN_FORCE).await;
+        shared.configuration.wait_for_revision(entry.mod_revision, CONFIGURATION_TIMEOUT).await;
     }
 }
 
-fn shown(outcome: Result<query::Table, String>) -> Outcome {
+fn table_outcome(outcome: Result<query::Table, String>) -> Outcome {
     match outcome {
         Ok(table) => {
             let rows = Rows { columns: table.columns, rows: table.rows };
@@ -77,21 +77,21 @@
     Outcome { retry_after_ms, ..Outcome::not_done(why) }
 }
 
-async fn conclude(shared: &Arc<Shared>, command: &Command, change: &Change, committed: Committed) -> Outcome {
+async fn finish_command(shared: &Arc<Shared>, command: &Command, change: &Change, committed: CommitOutcome) -> Outcome {
     match committed {
-        Committed::Done(revision) => {
+        CommitOutcome::Done(revision) => {
             events::emit!(shared.log, events::COMMAND_DONE, "command" => command.command.to_string(), "revision" => revision);
-            let here = shared.configuration.reached(revision, IN_FORCE).await;
-            let note = if here { "" } else { " (durable, but not in force at this entry host yet)" };
+            let in_force = shared.configuration.wait_for_revision(revision, CONFIGURATION_TIMEOUT).await;
+            let note = if in_force { "" } else { " (durable, but not in force at this entry host yet)" };
             Outcome { revision: Some(revision), ..Outcome::done(format!("{}{note}", change.message)) }
         }
-        Committed::Before(receipt) => from_receipt(receipt),
-        Committed::Conflict => {
-            let why = changed_by(shared, change).await;
+        CommitOutcome::Before(receipt) => receipt_outcome(receipt),
+        CommitOutcome::Conflict => {
+            let why = describe_conflict(shared, change).await;
             refuse(shared, command, why, None)
         }
-        Committed::NotDone(why) => refuse(shared, command, why, Some(RETRY_AFTER)),
-        Committed::Unknown(why) => {
+        CommitOutcome::NotDone(why) => refuse(shared, command, why, Some(RETRY_AFTER)),
+        CommitOutcome::Unknown(why) => {
             events::emit!(shared.log, events::COMMAND_UNKNOWN, "command" => command.command.to_string(), "why" => &why);
             Outcome::unknown(format!("{why}; ask again by the command's id"))
         }
@@ -105,10 +105,10 @@
 }
 
 /// Which other command came in between.
-async fn changed_by(shared: &Shared, change: &Change) -> String {
-    let prefix = keys::prefix(&shared.settings.cell);
-    for (place, expected) in &change.expects {
-        let key = format!("{prefix}{}", place.key());
+async fn describe_conflict(shared: &Shared, change: &Change) -> String {
+    let prefix = keys::cell_prefix(&shared.settings.cell);
+    for (record_key, expected) in &change.expects {
+        let key = format!("{prefix}{}", record_key.key());
         let Ok(entry) = shared.store.get(Use::Acceptance, &key).await else { break };
         if entry.mod_revision == *expected {
             continue;
@@ -117,26 +117,26 @@
             Ok(written) => format!("changed by command {}", written.command),
             Err(_) => "removed".to_owned(),
         };
-        return format!("{} has revision {}, not {expected}: {by}", place.key(), entry.mod_revision);
+        return format!("{} has revision {}, not {expected}: {by}", record_key.key(), entry.mod_revision);
     }
     "changed by another command in the meantime; look again".to_owned()
 }
 
-fn from_receipt(receipt: Receipt) -> Outcome {
+fn receipt_outcome(receipt: Receipt) -> Outcome {
     if receipt.done { Outcome::done(receipt.message) } else { Outcome::not_done(receipt.message) }
 }
 
 /// The outcome of an earlier command. One that was not carried out yet never will be after this.
 pub(crate) async fn outcome(shared: &Arc<Shared>, command: CommandId) -> Outcome {
-    match settle(shared, command).await {
-        Committed::Before(receipt) => from_receipt(receipt),
-        Committed::NotDone(why) => Outcome::not_done(why),
+    match resolve_outcome(shared, command).await {
+        CommitOutcome::Before(receipt) => receipt_outcome(receipt),
+        CommitOutcome::NotDone(why) => Outcome::not_done(why),
         other => Outcome::unknown(format!("{other:?}")),
     }
 }
 
 /// The writes that carry a command out, or why it can't be.
-fn plan(shared: &Shared, statement: &Statement, command: &Command) -> Result<Change, String> {
+fn plan_change(shared: &Shared, statement: &Statement, command: &Command) -> Result<Change, String> {
     let id = command.command;
     if shared.configuration.revision() == 0 {
         return Err("this entry host has no configuration yet".to_owned());
@@ -177,19 +177,19 @@
     }
     let life = next_life(known.as_ref().map_or(0, |known| known.record.life), SystemTime::now());
     let shares = shares(shared, &workload)?;
-    let place = Place::Workload(workload.name.clone());
-    change.expects.push((place.clone(), known.map_or(0, |known| known.revision)));
+    let record_key = RecordKey::Workload(workload.name.clone());
+    change.expects.push((record_key.clone(), known.map_or(0, |known| known.revision)));
     let record =
         Record { workload, intent: Intent::Run, command: change.command, life, shares, accepted_at: SystemTime::now() };
-    change.puts.push((place, keys::encode(&record)));
+    change.puts.push((record_key, keys::encode(&record)));
     Ok(())
 }
 
 /// By the clock, so that it exceeds also those whose records were removed: a worker that was away for long may
 /// still bring the ends of their tasks.
 fn next_life(known: u32, now: SystemTime) -> u32 {
-    let since = now.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_secs();
-    let by_clock = u32::try_from(since.saturating_sub(LIVES_FROM)).unwrap_or(u32::MAX);
+    let since_unix_epoch = now.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_secs();
+    let by_clock = u32::try_from(since_unix_epoch.saturating_sub(LIFE_EPOCH)).unwrap_or(u32::MAX);
     by_clock.max(known.saturating_add(1))
 }
 
@@ -211,26 +211,26 @@
 /// Divides a workload among the data centres that have a worker large enough for one task.
 fn shares(shared: &Shared, workload: &Workload) -> Result<BTreeMap<DataCentreId, u32>, String> {
     let workers = shared.listing.all_workers();
-    let mut cell = WorkerTable::default();
+    let mut table = WorkerTable::default();
     for (id, listed) in &workers {
         let (capacity, rack) = (listed.capacity, listed.rack.clone());
-        cell.upsert(Worker { id: id.clone(), rack, capacity, free: capacity, open: true });
+        table.upsert(Worker { id: id.clone(), rack, capacity, free: capacity, open: true });
     }
-    if let Some(reason @ Reason::NeverFits { .. }) = place::never_fits(&cell, &workload.each) {
+    if let Some(reason @ Reason::NeverFits { .. }) = place::never_fits(&table, &workload.each) {
         return Err(format!("workload {}: {reason}", workload.name));
     }
     let fits = |data_centre: &DataCentreId| {
         workers.iter().any(|(_, listed)| listed.data_centre == *data_centre && workload.each.fits_in(&listed.capacity))
     };
     let all = &shared.settings.data_centres;
-    let mut able: Vec<DataCentreId> = all.iter().filter(|data_centre| fits(data_centre)).cloned().collect();
-    if able.is_empty() {
+    let mut eligible: Vec<DataCentreId> = all.iter().filter(|data_centre| fits(data_centre)).cloned().collect();
+    if eligible.is_empty() {
         // Without a list nothing is known to be too small: the first look of the owner decides.
-        able = all.clone();
+        eligible = all.clone();
     }
-    let ranked = rank(&workload.name, able.iter().map(String::as_str));
+    let ranked = rank(&workload.name, eligible.iter().map(String::as_str));
     let preferred = ranked.first().map_or_else(|| shared.data_centre().clone(), |name| (*name).to_owned());
-    Ok(split_tasks(workload.kind, workload.instances, &able, &preferred))
+    Ok(split_tasks(workload.kind, workload.instances, &eligible, &preferred))
 }
 
 fn cancel(shared: &Shared, name: &str, revision: Option<Revision>, command: CommandId) -> Result<Change, String> {
@@ -238,7 +238,7 @@
     let mut record = known.record.clone();
     record.intent = Intent::Cancel;
     record.command = command;
-    Ok(rewrite(&known, record, format!("cancelled {name}"), command))
+    Ok(workload_change(&known, record, format!("cancelled {name}"), command))
 }
 
 fn known_workload(shared: &Shared, name: &str, revision: Option<Revision>) -> Result<Arc<Versioned>, String> {
@@ -257,13 +257,13 @@
     }
 }
 
-fn rewrite(known: &Versioned, record: Record, message: String, command: CommandId) -> Change {
-    let place = Place::Workload(known.record.workload.name.clone());
+fn workload_change(known: &Versioned, record: Record, message: String, command: CommandId) -> Change {
+    let record_key = RecordKey::Workload(known.record.workload.name.clone());
     Change {
         command,
         message,
-        expects: vec![(place.clone(), known.revision)],
-        puts: vec![(place, keys::encode(&record))],
+        expects: vec![(record_key.clone(), known.revision)],
+        puts: vec![(record_key, keys::encode(&record))],
         deletes: Vec::new(),
     }
 }
@@ -281,9 +281,9 @@
     for assignment in set {
         assign(&mut record.workload, assignment)?;
     }
-    record.shares = redivide(&known.record, record.workload.instances);
+    record.shares = redistribute(&known.record, record.workload.instances);
     let fields: Vec<&str> = set.iter().map(|assignment| assignment.field.as_str()).collect();
-    Ok(rewrite(&known, record, format!("changed {} of {name}", fields.join(", ")), command))
+    Ok(workload_change(&known, record, format!("changed {} of {name}", fields.join(", ")), command))
 }
 
 fn assign(workload: &mut Workload, assignment: &Assignment) -> Result<(), String> {
@@ -315,7 +315,7 @@
 }
 
 /// Divides anew over the data centres that have a share already.
-fn redivide(record: &Record, instances: u32) -> BTreeMap<DataCentreId, u32> {
+fn redistribute(record: &Record, instances: u32) -> BTreeMap<DataCentreId, u32> {
     let places: Vec<DataCentreId> = record.shares.keys().cloned().collect();
     match places.first() {
         Some(first) => split_tasks(record.workload.kind, instances, &places, first),
@@ -340,12 +340,12 @@
     for assignment in set {
         assign_quota(&mut team, assignment)?;
     }
-    let place = Place::Team(name.to_owned());
+    let record_key = RecordKey::Team(name.to_owned());
     Ok(Change {
         command,
         message: format!("changed the quota of team {name}"),
-        expects: vec![(place.clone(), at)],
-        puts: vec![(place, keys::encode(&team))],
+        expects: vec![(record_key.clone(), at)],
+        puts: vec![(record_key, keys::encode(&team))],
         deletes: Vec::new(),
     })
 }
@@ -379,14 +379,14 @@
 }
 
 fn drain(shared: &Shared, worker: &str, on: bool, command: CommandId) -> Result<Change, String> {
-    if shared.listing.known() && shared.listing.get(worker).is_none() {
+    if shared.listing.is_known() && shared.listing.get(worker).is_none() {
         return Err(format!("no worker `{worker}` in the platform's list"));
     }
-    let place = Place::Drain(worker.to_owned());
+    let record_key = RecordKey::Drain(worker.to_owned());
     let (puts, deletes, message) = if on {
-        (vec![(place, keys::encode(&Drain { command }))], Vec::new(), format!("draining {worker}"))
+        (vec![(record_key, keys::encode(&Drain { command }))], Vec::new(), format!("draining {worker}"))
     } else {
-        (Vec::new(), vec![place], format!("restored {worker}"))
+        (Vec::new(), vec![record_key], format!("restored {worker}"))
     };
     Ok(Change { command, message, expects: Vec::new(), puts, deletes })
 }
--- a/components/node/src/commit.rs
+++ b/components/node/src/commit.rs
@@ -15,26 +15,26 @@
 use tokio::sync::{mpsc, oneshot};
 use wire::StopOrder;
 
-use crate::keys::{self, Place, Receipt};
+use crate::keys::{self, Receipt, RecordKey};
 use crate::shared::Shared;
 
 /// Changes that arrive within this time go into one transaction.
-const GATHER: Duration = Duration::from_millis(4);
+const BATCH_WINDOW: Duration = Duration::from_millis(4);
 /// Ends of tasks are written this often.
-const ENDS_EVERY: Duration = Duration::from_millis(250);
+const END_WRITE_INTERVAL: Duration = Duration::from_millis(250);
 /// Operations that one transaction may have, by the platform's own limit.
-const MOST_OPERATIONS: usize = 120;
+const MAX_OPERATIONS: usize = 120;
 /// Changes that may wait for a transaction.
-const QUEUE: usize = 16_384;
+const MAX_QUEUED: usize = 16_384;
 /// Receipts last at least this long.
-const RECEIPTS: Duration = Duration::from_secs(3600);
+const RECEIPT_RETENTION: Duration = Duration::from_secs(3600);
 /// Attempts to settle a lost answer, and the pause before each.
-const SETTLE: [Duration; 4] =
+const RESOLVE_DELAYS: [Duration; 4] =
     [Duration::ZERO, Duration::from_millis(200), Duration::from_millis(500), Duration::from_millis(1000)];
 
 /// What became of a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Committed {
+pub(crate) enum CommitOutcome {
     /// Durable, at this revision.
     Done(Revision),
     /// A record was not what the change was made from.
@@ -53,9 +53,9 @@
     pub(crate) command: CommandId,
     pub(crate) message: String,
     /// Keys below the cell's prefix with the revisions that they must have.
-    pub(crate) expects: Vec<(Place, Revision)>,
-    pub(crate) puts: Vec<(Place, Vec<u8>)>,
-    pub(crate) deletes: Vec<Place>,
+    pub(crate) expects: Vec<(RecordKey, Revision)>,
+    pub(crate) puts: Vec<(RecordKey, Vec<u8>)>,
+    pub(crate) deletes: Vec<RecordKey>,
 }
 
 impl Change {
@@ -65,34 +65,40 @@
     }
 }
 
-type Pending = (Change, oneshot::Sender<Committed>);
-type Ends = BTreeMap<(Partition, WorkloadId), (Progress, Vec<StopOrder>)>;
+type QueuedChange = (Change, oneshot::Sender<CommitOutcome>);
+type UnwrittenEnds = BTreeMap<(Partition, WorkloadId), (Progress, Vec<StopOrder>)>;
 
 /// The queue to the platform.
 pub(crate) struct Committer {
-    sender: mpsc::Sender<Pending>,
-    receiver: Mutex<Option<mpsc::Receiver<Pending>>>,
-    ends: Mutex<Ends>,
+    sender: mpsc::Sender<QueuedChange>,
+    receiver: Mutex<Option<mpsc::Receiver<QueuedChange>>>,
+    ends: Mutex<UnwrittenEnds>,
     lease: Mutex<Option<(Lease, Instant)>>,
 }
 
 impl Committer {
     pub(crate) fn new() -> Committer {
-        let (sender, receiver) = mpsc::channel(QUEUE);
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED);
         Committer { sender, receiver: Mutex::new(Some(receiver)), ends: Mutex::default(), lease: Mutex::new(None) }
     }
 
     /// Makes a change durable.
-    pub(crate) async fn commit(&self, change: Change) -> Committed {
+    pub(crate) async fn commit(&self, change: Change) -> CommitOutcome {
         let (reply, answer) = oneshot::channel();
         if self.sender.try_send((change, reply)).is_err() {
-            return Committed::NotDone("too many commands wait already".to_owned());
+            return CommitOutcome::NotDone("too many commands wait already".to_owned());
         }
-        answer.await.unwrap_or_else(|_| Committed::Unknown("this entry host is stopping".to_owned()))
+        answer.await.unwrap_or_else(|_| CommitOutcome::Unknown("this entry host is stopping".to_owned()))
     }
 
     /// Takes in ends that must be durable before they are acknowledged.
-    pub(crate) fn end(&self, partition: Partition, workload: WorkloadId, progress: Progress, ends: Vec<StopOrder>) {
+    pub(crate) fn queue_ends(
+        &self,
+        partition: Partition,
+        workload: WorkloadId,
+        progress: Progress,
+        ends: Vec<StopOrder>,
+    ) {
         self.ends.lock().insert((partition, workload), (progress, ends));
     }
 }
@@ -102,10 +108,10 @@
     tokio::spawn(write_ends(shared.clone()));
     let Some(mut receiver) = shared.committer.receiver.lock().take() else { return };
     while let Some(first) = receiver.recv().await {
-        tokio::time::sleep(GATHER).await;
+        tokio::time::sleep(BATCH_WINDOW).await;
         let mut operations = first.0.operations();
         let mut batch = vec![first];
-        while operations < MOST_OPERATIONS / 2 {
+        while operations < MAX_OPERATIONS / 2 {
             let Ok(next) = receiver.try_recv() else { break };
             operations += next.0.operations();
             batch.push(next);
@@ -115,99 +121,99 @@
     }
 }
 
-async fn commit_batch(shared: Arc<Shared>, batch: Vec<Pending>) {
-    let together = batch.len() > 1 && unique(&batch);
-    if together {
+async fn commit_batch(shared: Arc<Shared>, batch: Vec<QueuedChange>) {
+    let can_share_transaction = batch.len() > 1 && have_distinct_keys(&batch);
+    if can_share_transaction {
         let changes: Vec<&Change> = batch.iter().map(|(change, _)| change).collect();
-        if let Committed::Done(revision) = write(&shared, &changes).await {
+        if let CommitOutcome::Done(revision) = write_changes(&shared, &changes).await {
             for (_, reply) in batch {
-                let _ = reply.send(Committed::Done(revision));
+                let _ = reply.send(CommitOutcome::Done(revision));
             }
             return;
         }
     }
     // One that fails must not fail the others: each is written, or settled, on its own.
     for (change, reply) in batch {
-        let _ = reply.send(commit_alone(&shared, &change).await);
+        let _ = reply.send(commit_one(&shared, &change).await);
     }
 }
 
 /// Whether no two changes touch the same key: one transaction may write a key only once.
-fn unique(batch: &[Pending]) -> bool {
+fn have_distinct_keys(batch: &[QueuedChange]) -> bool {
     let mut seen = std::collections::BTreeSet::new();
-    batch.iter().flat_map(|(change, _)| &change.expects).all(|(place, _)| seen.insert(place.key()))
+    batch.iter().flat_map(|(change, _)| &change.expects).all(|(record_key, _)| seen.insert(record_key.key()))
 }
 
-async fn commit_alone(shared: &Shared, change: &Change) -> Committed {
-    match write(shared, &[change]).await {
-        Committed::Conflict => match read_receipt(shared, change.command).await {
-            Ok(Some(receipt)) => Committed::Before(receipt),
-            Ok(None) => Committed::Conflict,
-            Err(fault) => Committed::Unknown(fault.to_string()),
+async fn commit_one(shared: &Shared, change: &Change) -> CommitOutcome {
+    match write_changes(shared, &[change]).await {
+        CommitOutcome::Conflict => match read_receipt(shared, change.command).await {
+            Ok(Some(receipt)) => CommitOutcome::Before(receipt),
+            Ok(None) => CommitOutcome::Conflict,
+            Err(fault) => CommitOutcome::Unknown(fault.to_string()),
         },
-        Committed::Unknown(_) => settle(shared, change.command).await,
-        other => other,
+        CommitOutcome::Unknown(_) => resolve_outcome(shared, change.command).await,
+        outcome => outcome,
     }
 }
 
-async fn write(shared: &Shared, changes: &[&Change]) -> Committed {
-    let lease = match receipts_lease(shared).await {
+async fn write_changes(shared: &Shared, changes: &[&Change]) -> CommitOutcome {
+    let lease = match receipt_lease(shared).await {
         Ok(lease) => lease,
-        Err(fault) => return Committed::NotDone(fault.to_string()),
+        Err(fault) => return CommitOutcome::NotDone(fault.to_string()),
     };
     let txn = transaction(&shared.settings.cell, changes, lease);
     let outcome = shared.store.txn(Use::Acceptance, &txn).await;
-    shared.platform_said(&outcome);
+    shared.record_platform_result(&outcome);
     match outcome {
-        Ok(outcome) if outcome.succeeded => Committed::Done(outcome.revision),
-        Ok(_) => Committed::Conflict,
+        Ok(outcome) if outcome.succeeded => CommitOutcome::Done(outcome.revision),
+        Ok(_) => CommitOutcome::Conflict,
         Err(Fault::Refused(why)) => {
             // The lease may have lapsed: the next change asks for a new one.
             *shared.committer.lease.lock() = None;
-            Committed::NotDone(why)
+            CommitOutcome::NotDone(why)
         }
-        Err(fault) if fault.may_have_happened() => Committed::Unknown(fault.to_string()),
-        Err(fault) => Committed::NotDone(fault.to_string()),
+        Err(fault) if fault.may_have_happened() => CommitOutcome::Unknown(fault.to_string()),
+        Err(fault) => CommitOutcome::NotDone(fault.to_string()),
     }
 }
 
 fn transaction(cell: &str, changes: &[&Change], lease: Lease) -> Txn {
-    let prefix = keys::prefix(cell);
+    let prefix = keys::cell_prefix(cell);
     let mut txn = Txn::default();
     for change in changes {
-        let key = keys::receipt(cell, change.command);
+        let key = keys::receipt_key(cell, change.command);
         txn.compares.push(Compare { key: key.clone(), mod_revision: 0 });
         let receipt = Receipt { done: true, message: change.message.clone() };
         txn.puts.push(Put { key, value: keys::encode(&receipt), lease });
-        for (place, revision) in &change.expects {
-            txn.compares.push(Compare { key: format!("{prefix}{}", place.key()), mod_revision: *revision });
+        for (record_key, revision) in &change.expects {
+            txn.compares.push(Compare { key: format!("{prefix}{}", record_key.key()), mod_revision: *revision });
         }
-        for (place, value) in &change.puts {
-            txn.puts.push(Put { key: format!("{prefix}{}", place.key()), value: value.clone(), lease: 0 });
+        for (record_key, value) in &change.puts {
+            txn.puts.push(Put { key: format!("{prefix}{}", record_key.key()), value: value.clone(), lease: 0 });
         }
-        txn.deletes.extend(change.deletes.iter().map(|place| format!("{prefix}{}", place.key())));
+        txn.deletes.extend(change.deletes.iter().map(|record_key| format!("{prefix}{}", record_key.key())));
     }
     txn
 }
 
 /// One lease holds the receipts of an hour; they end with it.
-async fn receipts_lease(shared: &Shared) -> Result<Lease, Fault> {
+async fn receipt_lease(shared: &Shared) -> Result<Lease, Fault> {
     let now = Instant::now();
     if let Some((lease, since)) = *shared.committer.lease.lock()
-        && now.duration_since(since) < RECEIPTS
+        && now.duration_since(since) < RECEIPT_RETENTION
     {
         return Ok(lease);
     }
-    let granted = shared.store.grant(Use::Acceptance, RECEIPTS * 2).await;
-    shared.platform_said(&granted);
+    let granted = shared.store.grant(Use::Acceptance, RECEIPT_RETENTION * 2).await;
+    shared.record_platform_result(&granted);
     let lease = granted?;
     *shared.committer.lease.lock() = Some((lease, now));
     Ok(lease)
 }
 
 async fn read_receipt(shared: &Shared, command: CommandId) -> Result<Option<Receipt>, Fault> {
-    let entry = shared.store.get(Use::Acceptance, &keys::receipt(&shared.settings.cell, command)).await;
-    shared.platform_said(&entry);
+    let entry = shared.store.get(Use::Acceptance, &keys::receipt_key(&shared.settings.cell, command)).await;
+    shared.record_platform_result(&entry);
     let entry = entry?;
     if entry.mod_revision == 0 {
         return Ok(None);
@@ -216,23 +222,23 @@
 }
 
 /// Finds out what became of a command, and keeps it from taking effect later when it has not.
-pub(crate) async fn settle(shared: &Shared, command: CommandId) -> Committed {
-    let mut last = String::new();
-    for pause in SETTLE {
+pub(crate) async fn resolve_outcome(shared: &Shared, command: CommandId) -> CommitOutcome {
+    let mut last_error = String::new();
+    for pause in RESOLVE_DELAYS {
         tokio::time::sleep(pause).await;
-        match fence(shared, command).await {
-            Ok(Some(receipt)) => return Committed::Before(receipt),
-            Ok(None) => return Committed::NotDone("the platform did not carry it out".to_owned()),
-            Err(fault) => last = fault.to_string(),
+        match write_not_done_receipt(shared, command).await {
+            Ok(Some(receipt)) => return CommitOutcome::Before(receipt),
+            Ok(None) => return CommitOutcome::NotDone("the platform did not carry it out".to_owned()),
+            Err(fault) => last_error = fault.to_string(),
         }
     }
-    Committed::Unknown(last)
+    CommitOutcome::Unknown(last_error)
 }
 
 /// Writes a receipt that says "not done", unless there is one. Returns the one that is there.
-async fn fence(shared: &Shared, command: CommandId) -> Result<Option<Receipt>, Fault> {
-    let lease = receipts_lease(shared).await?;
-    let key = keys::receipt(&shared.settings.cell, command);
+async fn write_not_done_receipt(shared: &Shared, command: CommandId) -> Result<Option<Receipt>, Fault> {
+    let lease = receipt_lease(shared).await?;
+    let key = keys::receipt_key(&shared.settings.cell, command);
     let receipt = Receipt { done: false, message: "not done: its answer was lost before it took effect".to_owned() };
     let txn = Txn {
         compares: vec![Compare { key: key.clone(), mod_revision: 0 }],
@@ -240,7 +246,7 @@
         deletes: Vec::new(),
     };
     let outcome = shared.store.txn(Use::Acceptance, &txn).await;
-    shared.platform_said(&outcome);
+    shared.record_platform_result(&outcome);
     if outcome?.succeeded {
         return Ok(None);
     }
@@ -250,56 +256,56 @@
 /// Writes ends of tasks until the process ends. Each is written until it is durable.
 async fn write_ends(shared: Arc<Shared>) {
     loop {
-        tokio::time::sleep(ENDS_EVERY).await;
+        tokio::time::sleep(END_WRITE_INTERVAL).await;
         let ends = std::mem::take(&mut *shared.committer.ends.lock());
-        let mut rest: Vec<_> = ends.into_iter().collect();
-        while !rest.is_empty() {
-            let part: Vec<_> = rest.drain(..rest.len().min(MOST_OPERATIONS / 2)).collect();
-            write_part(&shared, part).await;
+        let mut remaining: Vec<_> = ends.into_iter().collect();
+        while !remaining.is_empty() {
+            let batch: Vec<_> = remaining.drain(..remaining.len().min(MAX_OPERATIONS / 2)).collect();
+            write_end_batch(&shared, batch).await;
         }
     }
 }
 
-type End = ((Partition, WorkloadId), (Progress, Vec<StopOrder>));
+type WorkloadEnds = ((Partition, WorkloadId), (Progress, Vec<StopOrder>));
 
-async fn write_part(shared: &Arc<Shared>, part: Vec<End>) {
-    let written = write_progress(shared, &part).await;
+async fn write_end_batch(shared: &Arc<Shared>, batch: Vec<WorkloadEnds>) {
+    let written = write_progress(shared, &batch).await;
     if written {
-        durable(shared, part);
+        mark_durable(shared, batch);
         return;
     }
-    if part.len() == 1 {
+    if batch.len() == 1 {
         return;
     }
     // A partition that was lost in the meantime must not hold up the others.
-    for one in part {
-        if write_progress(shared, std::slice::from_ref(&one)).await {
-            durable(shared, vec![one]);
+    for workload_ends in batch {
+        if write_progress(shared, std::slice::from_ref(&workload_ends)).await {
+            mark_durable(shared, vec![workload_ends]);
         }
     }
 }
 
-fn durable(shared: &Arc<Shared>, part: Vec<End>) {
-    for ((partition, workload), (_, ends)) in part {
-        shared.partitions.with(partition, |owned| owned.book.mark_persisted(&workload, &ends));
+fn mark_durable(shared: &Arc<Shared>, batch: Vec<WorkloadEnds>) {
+    for ((partition, workload), (_, ends)) in batch {
+        shared.partitions.with(partition, |owned| owned.tracker.mark_persisted(&workload, &ends));
     }
 }
 
 /// Writes progress on the condition that the partitions are still claimed by this host.
-async fn write_progress(shared: &Shared, part: &[End]) -> bool {
-    let prefix = keys::prefix(&shared.settings.cell);
+async fn write_progress(shared: &Shared, batch: &[WorkloadEnds]) -> bool {
+    let prefix = keys::cell_prefix(&shared.settings.cell);
     let mut txn = Txn::default();
     let mut partitions = std::collections::BTreeSet::new();
-    for ((partition, workload), (progress, _)) in part {
-        let place = Place::Progress(shared.data_centre().clone(), workload.clone());
-        txn.puts.push(Put { key: format!("{prefix}{}", place.key()), value: keys::encode(progress), lease: 0 });
+    for ((partition, workload), (progress, _)) in batch {
+        let record_key = RecordKey::Progress(shared.data_centre().clone(), workload.clone());
+        txn.puts.push(Put { key: format!("{prefix}{}", record_key.key()), value: keys::encode(progress), lease: 0 });
         if partitions.insert(*partition) {
-            let Some(revision) = shared.partitions.with(*partition, |owned| owned.revision) else { return false };
-            let claim = Place::Claim(shared.data_centre().clone(), *partition);
+            let Some(revision) = shared.partitions.with(*partition, |owned| owned.claim_revision) else { return false };
+            let claim = RecordKey::Claim(shared.data_centre().clone(), *partition);
             txn.compares.push(Compare { key: format!("{prefix}{}", claim.key()), mod_revision: revision });
         }
     }
     let outcome = shared.store.txn(Use::Ends, &txn).await;
-    shared.platform_said(&outcome);
+    shared.record_platform_result(&outcome);
     matches!(outcome, Ok(outcome) if outcome.succeeded)
 }
--- a/components/node/src/configuration.rs
+++ b/components/node/src/configuration.rs
@@ -17,18 +17,18 @@
 use tokio::sync::{Notify, watch};
 use wire::{Answer, Entry, EntryKey, Request};
 
-use crate::keys::{self, Place, Team};
+use crate::keys::{self, RecordKey, Team};
 use crate::shared::Shared;
 
 /// Pause after a failed call to the platform, doubled each time up to the longest.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_secs(5);
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 /// Two rounds of pulls keep at least this distance.
-const SPACING: Duration = Duration::from_millis(50);
+const MIN_PULL_INTERVAL: Duration = Duration::from_millis(50);
 /// A watch that says nothing for so long, not even how far it has come, is opened anew.
-const SILENCE: Duration = Duration::from_secs(20);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
 /// How often the duty to watch is looked at.
-const DUTY: Duration = Duration::from_millis(500);
+const DUTY_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The parsed records.
 #[derive(Default)]
@@ -51,12 +51,12 @@
     state: Mutex<State>,
     revision: watch::Sender<Revision>,
     /// Set when a peer has a higher revision.
-    pub(crate) behind: Notify,
+    pub(crate) pull_needed: Notify,
 }
 
 impl Configuration {
     pub(crate) fn new() -> Configuration {
-        Configuration { state: Mutex::default(), revision: watch::Sender::new(0), behind: Notify::new() }
+        Configuration { state: Mutex::default(), revision: watch::Sender::new(0), pull_needed: Notify::new() }
     }
 
     /// The revision in force; 0 before the first.
@@ -65,10 +65,10 @@
     }
 
     /// Waits until a revision is in force here; false when it took longer than `patience`.
-    pub(crate) async fn reached(&self, revision: Revision, patience: Duration) -> bool {
-        let mut watched = self.revision.subscribe();
-        let reached = watched.wait_for(|current| *current >= revision);
-        matches!(tokio::time::timeout(patience, reached).await, Ok(Ok(_)))
+    pub(crate) async fn wait_for_revision(&self, revision: Revision, timeout: Duration) -> bool {
+        let mut revisions = self.revision.subscribe();
+        let wait_for_revision = revisions.wait_for(|current| *current >= revision);
+        matches!(tokio::time::timeout(timeout, wait_for_revision).await, Ok(Ok(_)))
     }
 
     pub(crate) fn delta(&self, since: Revision) -> Delta<EntryKey, Entry> {
@@ -77,21 +77,21 @@
 
     /// Takes in changes up to a revision, from the watch or from a peer. Returns the workloads that changed
     /// and the unreadable keys; a lower revision changes nothing.
-    fn apply(&self, delta: Delta<EntryKey, Entry>) -> Option<Applied> {
+    fn apply(&self, delta: Delta<EntryKey, Entry>) -> Option<AppliedChanges> {
         let mut guard = self.state.lock();
         let state = &mut *guard;
-        let whole = delta.since == 0;
+        let is_complete = delta.since == 0;
         let mut keys: BTreeSet<EntryKey> = delta.items.iter().map(|(key, _, _)| key.clone()).collect();
         keys.extend(delta.removed.iter().map(|(key, _)| key.clone()));
-        if whole {
+        if is_complete {
             keys.extend(state.board.iter().map(|(key, _)| key.clone()));
         }
         if !state.board.apply(delta) {
             return None;
         }
-        let mut applied = Applied::default();
+        let mut applied = AppliedChanges::default();
         for key in keys {
-            read_record(state, &key, &mut applied);
+            update_record(state, &key, &mut applied);
         }
         self.revision.send_replace(state.board.version());
         Some(applied)
@@ -136,32 +136,32 @@
 
 /// What a change touched.
 #[derive(Default)]
-struct Applied {
+struct AppliedChanges {
     workloads: Vec<WorkloadId>,
     drains: bool,
     unreadable: Vec<(EntryKey, String)>,
 }
 
 /// Reads one key's record anew. One that can't be read leaves the last good one in force.
-fn read_record(state: &mut State, key: &EntryKey, applied: &mut Applied) {
-    let Some(place) = Place::parse(key) else { return };
+fn update_record(state: &mut State, key: &EntryKey, applied: &mut AppliedChanges) {
+    let Some(record_key) = RecordKey::parse(key) else { return };
     let value = state.board.get(key);
     let revision = state.board.changed_at(key).unwrap_or(0);
     let records = &mut state.records;
-    let outcome = match place {
-        Place::Workload(name) => {
+    let outcome = match record_key {
+        RecordKey::Workload(name) => {
             applied.workloads.push(name.clone());
             let read = |record: Record| Arc::new(Versioned { record, revision });
-            put(&mut records.workloads, name, value, read)
+            update_map(&mut records.workloads, name, value, read)
         }
-        Place::Progress(data_centre, name) => {
-            put(&mut records.progress, (data_centre, name), value, |progress| progress)
+        RecordKey::Progress(data_centre, name) => {
+            update_map(&mut records.progress, (data_centre, name), value, |progress| progress)
         }
-        Place::Claim(data_centre, partition) => {
-            put(&mut records.claims, (data_centre, partition), value, |claim| (claim, revision))
+        RecordKey::Claim(data_centre, partition) => {
+            update_map(&mut records.claims, (data_centre, partition), value, |claim| (claim, revision))
         }
-        Place::Team(name) => put(&mut records.teams, name, value, |team| (team, revision)),
-        Place::Drain(worker) => {
+        RecordKey::Team(name) => update_map(&mut records.teams, name, value, |team| (team, revision)),
+        RecordKey::Drain(worker) => {
             applied.drains = true;
             if value.is_some() {
                 records.drains.insert(worker);
@@ -176,7 +176,7 @@
     }
 }
 
-fn put<K: Ord, R: serde::de::DeserializeOwned, V>(
+fn update_map<K: Ord, R: serde::de::DeserializeOwned, V>(
     map: &mut BTreeMap<K, V>,
     key: K,
     value: Option<&Entry>,
@@ -194,47 +194,47 @@
 }
 
 /// Keeps the configuration up to date until the process ends.
-pub(crate) async fn follow(shared: Arc<Shared>) {
+pub(crate) async fn run(shared: Arc<Shared>) {
     tokio::spawn(pull_from_peers(shared.clone()));
-    let mut pause = FIRST_PAUSE;
+    let mut backoff = MIN_BACKOFF;
     loop {
-        if !has_duty(&shared) {
-            tokio::time::sleep(DUTY).await;
+        if !should_watch(&shared) {
+            tokio::time::sleep(DUTY_CHECK_INTERVAL).await;
             continue;
         }
         let opened = watch_platform(&shared).await;
-        pause = if opened { FIRST_PAUSE } else { (pause * 2).min(LONGEST_PAUSE) };
+        backoff = if opened { MIN_BACKOFF } else { (backoff * 2).min(MAX_BACKOFF) };
         // Spread, so that the watchers of all data centres don't return at once after an outage.
         let spread = rand::rng().random_range(0.5..1.5);
-        tokio::time::sleep(pause.mul_f64(spread)).await;
+        tokio::time::sleep(backoff.mul_f64(spread)).await;
     }
 }
 
 /// The host that watches for its data centre; a host without any configuration watches too.
-fn has_duty(shared: &Shared) -> bool {
+fn should_watch(shared: &Shared) -> bool {
     shared.configuration.revision() == 0 || shared.membership.is_responsible("configuration")
 }
 
 /// Watches until the watch ends or the duty passes on. Tells whether it was opened.
 async fn watch_platform(shared: &Arc<Shared>) -> bool {
-    let prefix = keys::prefix(&shared.settings.cell);
-    if shared.configuration.revision() == 0 && !read_whole(shared, &prefix).await {
+    let prefix = keys::cell_prefix(&shared.settings.cell);
+    if shared.configuration.revision() == 0 && !read_all(shared, &prefix).await {
         return false;
     }
     let from = shared.configuration.revision() + 1;
     let opened = shared.store.watch(Use::Configuration, &prefix, from).await;
-    shared.platform_said(&opened);
+    shared.record_platform_result(&opened);
     let Ok(mut changes) = opened else {
-        note_failure(shared, "watch", opened.err());
+        log_failure(shared, "watch", opened.err());
         return false;
     };
-    while has_duty(shared) {
-        match tokio::time::timeout(SILENCE, changes.recv()).await {
+    while should_watch(shared) {
+        match tokio::time::timeout(WATCH_TIMEOUT, changes.recv()).await {
             Ok(Some(Changes::Upto(events, revision))) => {
-                shared.platform_answers.store(true, std::sync::atomic::Ordering::Relaxed);
-                take_events(shared, &prefix, events, revision);
+                shared.platform_reachable.store(true, std::sync::atomic::Ordering::Relaxed);
+                apply_events(shared, &prefix, events, revision);
             }
-            Ok(Some(Changes::Compacted)) => return read_whole(shared, &prefix).await,
+            Ok(Some(Changes::Compacted)) => return read_all(shared, &prefix).await,
             Ok(None) | Err(_) => break,
         }
     }
@@ -242,7 +242,7 @@
     true
 }
 
-fn take_events(shared: &Arc<Shared>, prefix: &str, events: Vec<store::Event>, revision: Revision) {
+fn apply_events(shared: &Arc<Shared>, prefix: &str, events: Vec<store::Event>, revision: Revision) {
     let since = shared.configuration.revision();
     if revision <= since {
         return;
@@ -255,14 +255,14 @@
             None => delta.removed.push((key, event.revision)),
         }
     }
-    take(shared, delta);
+    apply_delta(shared, delta);
 }
 
-async fn read_whole(shared: &Arc<Shared>, prefix: &str) -> bool {
+async fn read_all(shared: &Arc<Shared>, prefix: &str) -> bool {
     let range = shared.store.range(Use::Configuration, prefix).await;
-    shared.platform_said(&range);
+    shared.record_platform_result(&range);
     let Ok(range) = range else {
-        note_failure(shared, "range", range.err());
+        log_failure(shared, "range", range.err());
         return false;
     };
     let mut items = Vec::with_capacity(range.entries.len());
@@ -271,35 +271,35 @@
             items.push((key.to_owned(), entry.value, entry.mod_revision));
         }
     }
-    take(shared, Delta { since: 0, version: range.revision, items, removed: Vec::new() });
+    apply_delta(shared, Delta { since: 0, version: range.revision, items, removed: Vec::new() });
     true
 }
 
-fn note_failure(shared: &Shared, call: &str, fault: Option<store::Fault>) {
+fn log_failure(shared: &Shared, call: &str, fault: Option<store::Fault>) {
     let why = fault.map(|fault| fault.to_string()).unwrap_or_default();
     events::emit!(shared.log, events::PLATFORM_FAILED, "call" => call, "why" => why);
 }
 
 /// Puts changes in force.
-fn take(shared: &Arc<Shared>, delta: Delta<EntryKey, Entry>) {
+fn apply_delta(shared: &Arc<Shared>, delta: Delta<EntryKey, Entry>) {
     let Some(applied) = shared.configuration.apply(delta) else { return };
     for (key, why) in &applied.unreadable {
         events::emit!(shared.log, events::RECORD_UNREADABLE, "key" => key, "why" => why);
     }
     events::emit!(shared.log, events::CONFIGURATION, "revision" => shared.configuration.revision());
-    crate::owner::records_changed(shared, &applied.workloads);
+    crate::owner::apply_records(shared, &applied.workloads);
     if applied.drains {
-        crate::holds::refresh_leaving(shared);
+        crate::held_workers::refresh_leaving(shared);
     }
-    shared.membership.speak.notify_one();
-    shared.look_again.notify_one();
+    shared.membership.send_now.notify_one();
+    shared.schedule_needed.notify_one();
 }
 
 async fn pull_from_peers(shared: Arc<Shared>) {
     loop {
-        shared.configuration.behind.notified().await;
+        shared.configuration.pull_needed.notified().await;
         pull(&shared).await;
-        tokio::time::sleep(SPACING).await;
+        tokio::time::sleep(MIN_PULL_INTERVAL).await;
     }
 }
 
@@ -309,13 +309,13 @@
     let mut ahead = shared.membership.reachable();
     ahead.retain(|member| member.configuration > since);
     ahead.sort_by_key(|member| {
-        let far = member.peer.data_centre != *shared.data_centre();
-        (std::cmp::Reverse(member.configuration), far)
+        let remote = member.peer.data_centre != *shared.data_centre();
+        (std::cmp::Reverse(member.configuration), remote)
     });
     for member in ahead {
-        let answer = shared.links.call(member.peer.peers, &Request::Configuration { since }).await;
+        let answer = shared.peer_client.call(member.peer.peers, &Request::Configuration { since }).await;
         if let Ok(Answer::Configuration(delta)) = answer {
-            take(shared, delta);
+            apply_delta(shared, delta);
             return;
         }
     }
--- a/components/node/src/holds.rs
+++ b/components/node/src/held_workers.rs
@@ -20,23 +20,23 @@
 use crate::shared::Shared;
 
 /// How often it is looked at which workers this host should hold.
-const LOOK: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Longest wait for a worker's answer.
-const PATIENCE: Duration = Duration::from_millis(900);
+const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 /// A worker that could not be taken over is tried again after so long.
-const AGAIN: Duration = Duration::from_millis(800);
+const RETRY_DELAY: Duration = Duration::from_millis(800);
 /// Claim epochs heard from the neighbours are good for so long.
-const EPOCHS_FRESH: Duration = Duration::from_secs(1);
+const EPOCHS_VALIDITY: Duration = Duration::from_secs(1);
 /// Orders for one worker that come within this time go out in one batch.
-const GATHER: Duration = Duration::from_millis(1);
+const BATCH_WINDOW: Duration = Duration::from_millis(1);
 /// Facts of a worker that was lost to another holder are withdrawn after so long at the latest.
-const WITHDRAW: Duration = Duration::from_secs(3);
-const WITHDRAW_LOOK: Duration = Duration::from_millis(20);
+const MAX_WITHDRAW_DELAY: Duration = Duration::from_secs(3);
+const WITHDRAW_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// A silent worker is looked at this often.
-const SILENT: Duration = Duration::from_millis(500);
+const UNREACHABLE_RENEW_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A worker held by this host.
-pub(crate) struct Held {
+pub(crate) struct HeldWorker {
     pub(crate) ledger: Mutex<Ledger>,
     wake: Notify,
     client: Client,
@@ -44,23 +44,23 @@
 
 /// All workers held by this host.
 #[derive(Default)]
-pub(crate) struct Holds {
-    held: Mutex<HashMap<WorkerId, Arc<Held>>>,
+pub(crate) struct HeldWorkers {
+    held: Mutex<HashMap<WorkerId, Arc<HeldWorker>>>,
     /// Workers being taken over, and those that refused, until when.
-    pausing: Mutex<HashMap<WorkerId, Instant>>,
+    retry_at: Mutex<HashMap<WorkerId, Instant>>,
     /// Highest epoch by which a worker refused this host.
-    refused: Mutex<HashMap<WorkerId, Epoch>>,
+    refused_epochs: Mutex<HashMap<WorkerId, Epoch>>,
     /// Highest claim epoch known of each partition.
     epochs: Mutex<BTreeMap<Partition, Epoch>>,
-    epochs_at: Mutex<Option<Instant>>,
+    epochs_learned_at: Mutex<Option<Instant>>,
 }
 
-impl Holds {
-    pub(crate) fn get(&self, worker: &str) -> Option<Arc<Held>> {
+impl HeldWorkers {
+    pub(crate) fn get(&self, worker: &str) -> Option<Arc<HeldWorker>> {
         self.held.lock().get(worker).cloned()
     }
 
-    pub(crate) fn all(&self) -> Vec<(WorkerId, Arc<Held>)> {
+    pub(crate) fn all(&self) -> Vec<(WorkerId, Arc<HeldWorker>)> {
         self.held.lock().iter().map(|(worker, held)| (worker.clone(), held.clone())).collect()
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// Raises the known epoch of a partition; returns the highest known.
-    pub(crate) fn raise(&self, partition: Partition, epoch: Epoch) -> Epoch {
+    pub(crate) fn raise_epoch(&self, partition: Partition, epoch: Epoch) -> Epoch {
         let mut epochs = self.epochs.lock();
         let known = epochs.entry(partition).or_default();
         *known = epoch.max(*known);
@@ -84,103 +84,106 @@
 /// Takes over and holds workers until the process ends.
 pub(crate) async fn run(shared: Arc<Shared>) {
     loop {
-        let wanted = wanted(&shared);
-        if !wanted.is_empty() && learn_epochs(&shared).await {
-            join_all(wanted.into_iter().map(|(worker, listed)| take_over(shared.clone(), worker, listed))).await;
+        let workers_to_take_over = workers_to_take_over(&shared);
+        if !workers_to_take_over.is_empty() && learn_epochs(&shared).await {
+            join_all(
+                workers_to_take_over.into_iter().map(|(worker, listed)| take_over(shared.clone(), worker, listed)),
+            )
+            .await;
         }
-        shared.metrics.workers.set(shared.holds.len() as i64);
+        shared.metrics.workers.set(shared.held_workers.len() as i64);
         tokio::select! {
-            () = tokio::time::sleep(LOOK) => {}
+            () = tokio::time::sleep(CHECK_INTERVAL) => {}
             () = shared.membership.changed.notified() => {}
         }
     }
 }
 
 /// Workers that this host should hold and does not.
-fn wanted(shared: &Shared) -> Vec<(WorkerId, Listed)> {
+fn workers_to_take_over(shared: &Shared) -> Vec<(WorkerId, Listed)> {
     if shared.membership.presence() != Presence::Serving {
         return Vec::new();
     }
     let now = Instant::now();
     let hosts = shared.membership.live_in(shared.data_centre());
-    let mut pausing = shared.holds.pausing.lock();
-    pausing.retain(|_, until| *until > now);
+    let mut retry_at = shared.held_workers.retry_at.lock();
+    retry_at.retain(|_, until| *until > now);
     let workers = shared.listing.workers(shared.data_centre());
-    let mine = workers.into_iter().filter(|(worker, _)| {
+    let assigned = workers.into_iter().filter(|(worker, _)| {
         let winner = member::highest_ranked(worker, hosts.iter().map(String::as_str));
-        winner == Some(shared.own.host.as_str()) && !pausing.contains_key(worker)
+        winner == Some(shared.own.host.as_str()) && !retry_at.contains_key(worker)
     });
-    mine.filter(|(worker, _)| shared.holds.get(worker).is_none()).collect()
+    assigned.filter(|(worker, _)| shared.held_workers.get(worker).is_none()).collect()
 }
 
 /// A new holder must know the newest claims before its first start: an owner that was paused could otherwise
 /// have its orders carried out. Tells whether every live neighbour was heard.
 async fn learn_epochs(shared: &Arc<Shared>) -> bool {
     let now = Instant::now();
-    let fresh = shared.holds.epochs_at.lock().is_some_and(|at| now.duration_since(at) < EPOCHS_FRESH);
+    let fresh = shared.held_workers.epochs_learned_at.lock().is_some_and(|at| now.duration_since(at) < EPOCHS_VALIDITY);
     if fresh {
         return true;
     }
     let calls = shared.membership.neighbours().into_iter().map(|member| async move {
-        match shared.links.call(member.peer.peers, &Request::Epochs).await {
+        match shared.peer_client.call(member.peer.peers, &Request::Epochs).await {
             Ok(Answer::Epochs(epochs)) => Some(epochs),
             _ => None,
         }
     });
     let answers = join_all(calls).await;
     for (partition, epoch) in answers.iter().flatten().flatten() {
-        shared.holds.raise(*partition, *epoch);
+        shared.held_workers.raise_epoch(*partition, *epoch);
     }
     let all = answers.iter().all(Option::is_some);
     if all {
-        *shared.holds.epochs_at.lock() = Some(now);
+        *shared.held_workers.epochs_learned_at.lock() = Some(now);
     }
     all
 }
 
 async fn take_over(shared: Arc<Shared>, worker: WorkerId, listed: Listed) {
-    let refused = shared.holds.refused.lock().get(&worker).copied().unwrap_or(0);
-    let epoch = shared.facts.highest_epoch(&worker).max(refused) + 1;
-    let client = Client::new(listed.address, PATIENCE);
+    let refused_epoch = shared.held_workers.refused_epochs.lock().get(&worker).copied().unwrap_or(0);
+    let epoch = shared.facts.highest_epoch(&worker).max(refused_epoch) + 1;
+    let client = Client::new(listed.address, CALL_TIMEOUT);
     let outcome = client.hold(&Hold { holder: shared.own.host.clone(), epoch }).await;
     let now = Instant::now();
     let report = match outcome {
         Ok(report) => report,
         Err(fault) => {
             if let WorkerError::Superseded(refusal) = fault {
-                shared.holds.refused.lock().insert(worker.clone(), refusal.epoch);
+                shared.held_workers.refused_epochs.lock().insert(worker.clone(), refusal.epoch);
             } else {
-                shared.holds.pausing.lock().insert(worker, now + AGAIN);
+                shared.held_workers.retry_at.lock().insert(worker, now + RETRY_DELAY);
             }
             return;
         }
     };
     let mut ledger = Ledger::open(worker.clone(), epoch, report, shared.ledger_limits(), now);
     ledger.set_listed_leaving(is_leaving(&shared, &worker, Some(&listed)));
-    let held = Arc::new(Held { ledger: Mutex::new(ledger), wake: Notify::new(), client });
-    shared.holds.held.lock().insert(worker.clone(), held.clone());
+    let held = Arc::new(HeldWorker { ledger: Mutex::new(ledger), wake: Notify::new(), client });
+    shared.held_workers.held.lock().insert(worker.clone(), held.clone());
     events::emit!(shared.log, events::WORKER_HELD, "worker" => &worker, "epoch" => epoch);
-    publish(&shared, &held, now);
-    tokio::spawn(hold(shared, worker, held));
+    publish_facts(&shared, &held, now);
+    tokio::spawn(hold_worker(shared, worker, held));
 }
 
 /// Renews and commands one worker until another host holds it.
-async fn hold(shared: Arc<Shared>, worker: WorkerId, held: Arc<Held>) {
+async fn hold_worker(shared: Arc<Shared>, worker: WorkerId, held: Arc<HeldWorker>) {
     let mut sequence = 0;
     loop {
         let (renew, urgent) = {
             let ledger = held.ledger.lock();
-            let renew = if ledger.reachable() { shared.settings.tasks.renew_every } else { SILENT };
+            let renew = if ledger.reachable() { shared.settings.tasks.renew_every } else { UNREACHABLE_RENEW_INTERVAL };
             (renew, ledger.reachable() && ledger.has_urgent_commands(Instant::now()))
         };
         if urgent {
-            tokio::time::sleep(GATHER).await;
+            tokio::time::sleep(BATCH_WINDOW).await;
         } else {
             let _ = tokio::time::timeout(renew, held.wake.notified()).await;
         }
         sequence += 1;
-        if !exchange(&shared, &worker, &held, sequence).await {
-            shared.holds.held.lock().remove(&worker);
+        if !send_batch(&shared, &worker, &held, sequence).await {
+            shared.held_workers.held.lock().remove(&worker);
             let epoch = held.ledger.lock().epoch();
             withdraw(&shared, &worker, epoch).await;
             return;
@@ -191,19 +194,19 @@
 /// Withdraws a worker's facts, but not before its next holder's are here: callers' requests go on to its
 /// instances in the meantime.
 async fn withdraw(shared: &Arc<Shared>, worker: &WorkerId, epoch: Epoch) {
-    let began = Instant::now();
-    while shared.facts.highest_epoch(worker) <= epoch && began.elapsed() < WITHDRAW {
-        tokio::time::sleep(WITHDRAW_LOOK).await;
+    let started_at = Instant::now();
+    while shared.facts.highest_epoch(worker) <= epoch && started_at.elapsed() < MAX_WITHDRAW_DELAY {
+        tokio::time::sleep(WITHDRAW_POLL_INTERVAL).await;
     }
     // This host may have taken it back by now; then its facts are its own again.
-    if shared.holds.get(worker).is_none() {
+    if shared.held_workers.get(worker).is_none() {
         shared.facts.withdraw(worker);
-        shared.membership.speak.notify_one();
+        shared.membership.send_now.notify_one();
     }
 }
 
 /// Sends one batch and takes in its report. False when the worker is held by another host.
-async fn exchange(shared: &Arc<Shared>, worker: &WorkerId, held: &Arc<Held>, sequence: u64) -> bool {
+async fn send_batch(shared: &Arc<Shared>, worker: &WorkerId, held: &Arc<HeldWorker>, sequence: u64) -> bool {
     let (batch, sent) = {
         let mut ledger = held.ledger.lock();
         let (stamp_ms, lease) = ledger.lease();
@@ -220,12 +223,12 @@
                 let before = (ledger.reachable(), ledger.on_probation());
                 (ledger.apply_batch_reply(&sent, report, now), before)
             };
-            note_recovery(shared, worker, held, before);
-            note_ends(shared, &ended);
+            log_recovery(shared, worker, held, before);
+            log_ends(shared, &ended);
         }
         Err(WorkerError::Superseded(refusal)) => {
             events::emit!(shared.log, events::WORKER_SUPERSEDED, "worker" => worker, "by" => refusal.holder);
-            shared.holds.refused.lock().insert(worker.clone(), refusal.epoch);
+            shared.held_workers.refused_epochs.lock().insert(worker.clone(), refusal.epoch);
             return false;
         }
         Err(fault) => {
@@ -239,14 +242,14 @@
             if !ended.is_empty() {
                 events::emit!(shared.log, events::WORKER_LAPSED, "worker" => worker, "tasks" => ended.len());
             }
-            note_ends(shared, &ended);
+            log_ends(shared, &ended);
         }
     }
-    publish(shared, held, now);
+    publish_facts(shared, held, now);
     true
 }
 
-fn note_recovery(shared: &Shared, worker: &WorkerId, held: &Held, (reachable, probation): (bool, bool)) {
+fn log_recovery(shared: &Shared, worker: &WorkerId, held: &HeldWorker, (reachable, probation): (bool, bool)) {
     let on_probation = held.ledger.lock().on_probation();
     if !reachable {
         events::emit!(shared.log, events::WORKER_BACK, "worker" => worker);
@@ -258,7 +261,7 @@
     }
 }
 
-fn note_ends(shared: &Shared, ended: &[EndedAttempt]) {
+fn log_ends(shared: &Shared, ended: &[EndedAttempt]) {
     for one in ended {
         let (task, attempt) = (one.task.to_string(), one.attempt.to_string());
         events::emit!(shared.log, events::TASK_ENDED, "task" => task, "attempt" => attempt, "how" => format!("{:?}", one.end));
@@ -268,7 +271,7 @@
 /// Whether no other host can have renewed the leases of a silent worker since this one last did.
 fn is_sole_holder(shared: &Shared, worker: &WorkerId, epoch: Epoch, now: Instant) -> bool {
     let limits = shared.ledger_limits();
-    if shared.listing.gone_for(worker, limits.lease + limits.margin, now) {
+    if shared.listing.missing_for(worker, limits.lease + limits.margin, now) {
         return true;
     }
     if shared.facts.highest_epoch(worker) > epoch {
@@ -276,20 +279,20 @@
     }
     // A host that can't be heard may hold the worker under a higher epoch, unless the platform dropped it.
     let neighbours = shared.membership.all().into_iter();
-    let mut unheard = neighbours.filter(|member| {
+    let mut unheard_members = neighbours.filter(|member| {
         member.peer.data_centre == *shared.data_centre()
             && shared.membership.state(&member.peer.host) == Some(HostState::Dead)
             && member.presence != Presence::Gone
     });
-    !unheard.any(|member| {
+    !unheard_members.any(|member| {
         let listed = shared.listing.get(&member.peer.host);
         listed.is_none_or(|listed| listed.kind == ListedKind::Entry)
-            && !shared.listing.gone_for(&member.peer.host, limits.lease, now)
+            && !shared.listing.missing_for(&member.peer.host, limits.lease, now)
     })
 }
 
 /// Publishes a worker's facts, and hands what changed to the owners here.
-fn publish(shared: &Arc<Shared>, held: &Held, now: Instant) {
+fn publish_facts(shared: &Arc<Shared>, held: &HeldWorker, now: Instant) {
     let changed = {
         let mut ledger = held.ledger.lock();
         let fact = ledger.worker_fact(now);
@@ -299,7 +302,7 @@
     if changed.is_empty() {
         return;
     }
-    shared.membership.speak.notify_one();
+    shared.membership.send_now.notify_one();
     crate::owner::observe(shared, changed);
 }
 
@@ -309,19 +312,19 @@
 
 /// Takes up anew which held workers are leaving.
 pub(crate) fn refresh_leaving(shared: &Arc<Shared>) {
-    for (worker, held) in shared.holds.all() {
+    for (worker, held) in shared.held_workers.all() {
         let leaving = is_leaving(shared, &worker, shared.listing.get(&worker).as_ref());
         held.ledger.lock().set_listed_leaving(leaving);
-        publish(shared, &held, Instant::now());
+        publish_facts(shared, &held, Instant::now());
     }
 }
 
 /// Takes in a claim, and tells what is held of the partition.
 pub(crate) fn announce(shared: &Arc<Shared>, partition: Partition, epoch: Epoch) -> InventoryAnswer {
-    let epoch = shared.holds.raise(partition, epoch);
+    let epoch = shared.held_workers.raise_epoch(partition, epoch);
     let mut workers = Vec::new();
     let mut tasks = Vec::new();
-    for (worker, held) in shared.holds.all() {
+    for (worker, held) in shared.held_workers.all() {
         let mut ledger = held.ledger.lock();
         let fact = ledger.worker_fact(Instant::now());
         if !fact.reachable && !fact.lapsed {
@@ -346,29 +349,29 @@
     orders: &[StartOrder],
     now: Instant,
 ) -> (Vec<StartAnswer>, u64) {
-    let known = shared.holds.raise(partition, epoch);
+    let known = shared.held_workers.raise_epoch(partition, epoch);
     if known > epoch {
         return (vec![StartAnswer::Superseded(known); orders.len()], 0);
     }
-    let mut touched: HashMap<WorkerId, Arc<Held>> = HashMap::new();
+    let mut changed: HashMap<WorkerId, Arc<HeldWorker>> = HashMap::new();
     let mut answers = Vec::with_capacity(orders.len());
     for order in orders {
-        let Some(held) = shared.holds.get(&order.worker) else {
+        let Some(held) = shared.held_workers.get(&order.worker) else {
             answers.push(StartAnswer::NotHolder);
             continue;
         };
-        let (commit, hold) = {
+        let (result, hold_epoch) = {
             let mut ledger = held.ledger.lock();
             (ledger.commit(order, now), ledger.epoch())
         };
-        answers.push(match commit {
-            CommitResult::Accepted => StartAnswer::Accepted(hold),
+        answers.push(match result {
+            CommitResult::Accepted => StartAnswer::Accepted(hold_epoch),
             CommitResult::Full(free) => StartAnswer::Full(free),
             CommitResult::Closed => StartAnswer::Closed,
         });
-        touched.insert(order.worker.clone(), held);
+        changed.insert(order.worker.clone(), held);
     }
-    wake(shared, touched.into_values(), now);
+    wake(shared, changed.into_values(), now);
     (answers, shared.facts.own_version())
 }
 
@@ -380,12 +383,12 @@
     orders: &[ReserveOrder],
     now: Instant,
 ) -> Vec<bool> {
-    if shared.holds.raise(partition, epoch) > epoch {
+    if shared.held_workers.raise_epoch(partition, epoch) > epoch {
         return vec![false; orders.len()];
     }
     let mut answers = Vec::with_capacity(orders.len());
     for order in orders {
-        let Some(held) = shared.holds.get(&order.worker) else {
+        let Some(held) = shared.held_workers.get(&order.worker) else {
             answers.push(false);
             continue;
         };
@@ -397,12 +400,12 @@
 
 /// Stops attempts of a partition. An owner that was superseded stops nothing.
 pub(crate) fn stop(shared: &Arc<Shared>, partition: Partition, epoch: Epoch, orders: &[StopOrder]) {
-    if shared.holds.raise(partition, epoch) > epoch {
+    if shared.held_workers.raise_epoch(partition, epoch) > epoch {
         return;
     }
     let now = Instant::now();
     for order in orders {
-        let Some(held) = shared.holds.get(&order.worker) else { continue };
+        let Some(held) = shared.held_workers.get(&order.worker) else { continue };
         held.ledger.lock().stop(&order.task, order.attempt, now);
         wake(shared, [held], now);
     }
@@ -411,15 +414,15 @@
 /// Lets workers forget ends that are durable.
 pub(crate) fn acknowledge(shared: &Arc<Shared>, ends: &[StopOrder]) {
     for order in ends {
-        let Some(held) = shared.holds.get(&order.worker) else { continue };
+        let Some(held) = shared.held_workers.get(&order.worker) else { continue };
         held.ledger.lock().acknowledge(&order.task, order.attempt);
         held.wake.notify_one();
     }
 }
 
-fn wake(shared: &Arc<Shared>, held: impl IntoIterator<Item = Arc<Held>>, now: Instant) {
+fn wake(shared: &Arc<Shared>, held: impl IntoIterator<Item = Arc<HeldWorker>>, now: Instant) {
     for one in held {
-        publish(shared, &one, now);
+        publish_facts(shared, &one, now);
         one.wake.notify_one();
     }
 }
--- a/components/node/src/keys.rs
+++ b/components/node/src/keys.rs
@@ -27,18 +27,18 @@
 }
 
 /// Prefix of the configuration of a cell; everything below it is watched.
-pub(crate) fn prefix(cell: &str) -> String {
+pub(crate) fn cell_prefix(cell: &str) -> String {
     format!("/walkhook/{cell}/")
 }
 
 /// Key of a command's receipt. Not below the watched prefix: other hosts have no use for it.
-pub(crate) fn receipt(cell: &str, command: CommandId) -> String {
+pub(crate) fn receipt_key(cell: &str, command: CommandId) -> String {
     format!("/walkhook-commands/{cell}/{command}")
 }
 
 /// What a key below the prefix stands for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Place {
+pub(crate) enum RecordKey {
     Workload(String),
     Progress(DataCentreId, String),
     Claim(DataCentreId, Partition),
@@ -46,30 +46,32 @@
     Drain(String),
 }
 
-impl Place {
+impl RecordKey {
     /// The key, below the cell's prefix.
     pub(crate) fn key(&self) -> String {
         match self {
-            Place::Workload(name) => format!("workload/{name}"),
-            Place::Progress(data_centre, name) => format!("progress/{data_centre}/{name}"),
-            Place::Claim(data_centre, partition) => format!("claim/{data_centre}/{partition}"),
-            Place::Team(name) => format!("team/{name}"),
-            Place::Drain(worker) => format!("drain/{worker}"),
+            RecordKey::Workload(name) => format!("workload/{name}"),
+            RecordKey::Progress(data_centre, name) => format!("progress/{data_centre}/{name}"),
+            RecordKey::Claim(data_centre, partition) => format!("claim/{data_centre}/{partition}"),
+            RecordKey::Team(name) => format!("team/{name}"),
+            RecordKey::Drain(worker) => format!("drain/{worker}"),
         }
     }
 
     /// The place of a key; `None` for a key that this version does not know.
-    pub(crate) fn parse(key: &str) -> Option<Place> {
+    pub(crate) fn parse(key: &str) -> Option<RecordKey> {
         let mut parts = key.split('/');
-        let place = match (parts.next()?, parts.next()?, parts.next()) {
-            ("workload", name, None) => Place::Workload(name.to_owned()),
-            ("team", name, None) => Place::Team(name.to_owned()),
-            ("drain", worker, None) => Place::Drain(worker.to_owned()),
-            ("progress", data_centre, Some(name)) => Place::Progress(data_centre.to_owned(), name.to_owned()),
-            ("claim", data_centre, Some(partition)) => Place::Claim(data_centre.to_owned(), partition.parse().ok()?),
+        let record_key = match (parts.next()?, parts.next()?, parts.next()) {
+            ("workload", name, None) => RecordKey::Workload(name.to_owned()),
+            ("team", name, None) => RecordKey::Team(name.to_owned()),
+            ("drain", worker, None) => RecordKey::Drain(worker.to_owned()),
+            ("progress", data_centre, Some(name)) => RecordKey::Progress(data_centre.to_owned(), name.to_owned()),
+            ("claim", data_centre, Some(partition)) => {
+                RecordKey::Claim(data_centre.to_owned(), partition.parse().ok()?)
+            }
             _ => return None,
         };
-        Some(place)
+        Some(record_key)
     }
 }
 
--- a/components/node/src/listing.rs
+++ b/components/node/src/listing.rs
@@ -12,14 +12,14 @@
 use crate::shared::Shared;
 
 /// Time between two readings.
-const EVERY: Duration = Duration::from_secs(1);
+const READ_INTERVAL: Duration = Duration::from_secs(1);
 
 #[derive(Default)]
 struct State {
     version: u64,
     hosts: BTreeMap<HostId, Listed>,
     /// When hosts were first missed, by this host's clock.
-    gone: HashMap<HostId, Instant>,
+    missing_since: HashMap<HostId, Instant>,
 }
 
 /// The list as last read.
@@ -33,23 +33,23 @@
         self.state.lock().version
     }
 
-    pub(crate) fn whole(&self) -> (u64, Vec<(HostId, Listed)>) {
+    pub(crate) fn all(&self) -> (u64, Vec<(HostId, Listed)>) {
         let state = self.state.lock();
         (state.version, state.hosts.iter().map(|(name, host)| (name.clone(), host.clone())).collect())
     }
 
     /// Takes in a list; an older one than the known changes nothing. Tells whether it was taken.
-    fn take(&self, version: u64, hosts: Vec<(HostId, Listed)>, now: Instant) -> bool {
+    fn replace(&self, version: u64, hosts: Vec<(HostId, Listed)>, now: Instant) -> bool {
         let mut state = self.state.lock();
         if version <= state.version {
             return false;
         }
         let hosts: BTreeMap<HostId, Listed> = hosts.into_iter().collect();
-        let missed: Vec<HostId> = state.hosts.keys().filter(|name| !hosts.contains_key(*name)).cloned().collect();
-        for name in missed {
-            state.gone.entry(name).or_insert(now);
+        let missing: Vec<HostId> = state.hosts.keys().filter(|name| !hosts.contains_key(*name)).cloned().collect();
+        for name in missing {
+            state.missing_since.entry(name).or_insert(now);
         }
-        state.gone.retain(|name, _| !hosts.contains_key(name));
+        state.missing_since.retain(|name, _| !hosts.contains_key(name));
         state.version = version;
         state.hosts = hosts;
         true
@@ -75,43 +75,43 @@
     }
 
     /// Whether a host has been off the list for longer than `time`.
-    pub(crate) fn gone_for(&self, name: &str, time: Duration, now: Instant) -> bool {
+    pub(crate) fn missing_for(&self, name: &str, time: Duration, now: Instant) -> bool {
         let state = self.state.lock();
-        state.gone.get(name).is_some_and(|since| now.saturating_duration_since(*since) > time)
+        state.missing_since.get(name).is_some_and(|since| now.saturating_duration_since(*since) > time)
     }
 
     /// Whether the list was ever read.
-    pub(crate) fn known(&self) -> bool {
+    pub(crate) fn is_known(&self) -> bool {
         self.version() > 0
     }
 }
 
 /// Keeps the list up to date until the process ends.
-pub(crate) async fn follow(shared: Arc<Shared>) {
+pub(crate) async fn run(shared: Arc<Shared>) {
     loop {
-        let taken = if !shared.listing.known() || shared.membership.is_responsible("list") {
-            read(&shared).await
+        let changed = if !shared.listing.is_known() || shared.membership.is_responsible("list") {
+            read_from_platform(&shared).await
         } else {
-            ask(&shared).await
+            read_from_peer(&shared).await
         };
-        if taken {
-            events::emit!(shared.log, events::LIST_CHANGED, "hosts" => shared.listing.whole().1.len());
-            crate::holds::refresh_leaving(&shared);
-            shared.look_again.notify_one();
+        if changed {
+            events::emit!(shared.log, events::LIST_CHANGED, "hosts" => shared.listing.all().1.len());
+            crate::held_workers::refresh_leaving(&shared);
+            shared.schedule_needed.notify_one();
         }
-        tokio::time::sleep(EVERY).await;
+        tokio::time::sleep(READ_INTERVAL).await;
     }
 }
 
-async fn read(shared: &Shared) -> bool {
+async fn read_from_platform(shared: &Shared) -> bool {
     let list = shared.lister.list(shared.listing.version()).await;
-    shared.platform_said(&list);
+    shared.record_platform_result(&list);
     let Ok(list) = list else { return false };
-    let hosts = list.hosts.into_iter().map(|host| (host.name.clone(), listed(host)));
-    shared.listing.take(list.version, hosts.collect(), Instant::now())
+    let hosts = list.hosts.into_iter().map(|host| (host.name.clone(), to_listed(host)));
+    shared.listing.replace(list.version, hosts.collect(), Instant::now())
 }
 
-fn listed(host: store::Host) -> Listed {
+fn to_listed(host: store::Host) -> Listed {
     let kind = match host.kind {
         store::Kind::Worker => ListedKind::Worker,
         store::Kind::Entry => ListedKind::Entry,
@@ -126,10 +126,10 @@
     }
 }
 
-async fn ask(shared: &Shared) -> bool {
+async fn read_from_peer(shared: &Shared) -> bool {
     let Some(reader) = shared.membership.responsible("list") else { return false };
     let Some(member) = shared.membership.get(&reader) else { return false };
-    let answer = shared.links.call(member.peer.peers, &Request::List { since: shared.listing.version() }).await;
+    let answer = shared.peer_client.call(member.peer.peers, &Request::List { since: shared.listing.version() }).await;
     let Ok(Answer::List(version, hosts)) = answer else { return false };
-    shared.listing.take(version, hosts, Instant::now())
+    shared.listing.replace(version, hosts, Instant::now())
 }
--- a/components/node/src/membership.rs
+++ b/components/node/src/membership.rs
@@ -16,16 +16,16 @@
 use crate::shared::Shared;
 
 /// Hosts of each other data centre that a digest goes to, once in so many digests.
-const FAR: usize = 2;
-const FAR_EVERY: u64 = 5;
+const REMOTE_TARGETS: usize = 2;
+const REMOTE_DIGEST_EVERY: u64 = 5;
 /// Silence after which a host of another data centre is taken for dead, against one of the own.
-const FAR_PATIENCE: u32 = 4;
+const REMOTE_DEAD_FACTOR: u32 = 4;
 /// Hosts are named for newcomers once in so many digests.
-const NAMED_EVERY: u64 = 16;
+const KNOWN_HOSTS_EVERY: u64 = 16;
 /// Hosts named in a digest for newcomers.
-const NAMED: usize = 8;
+const MAX_KNOWN_HOSTS: usize = 8;
 /// Digests that go out at once after a change keep at least this distance.
-const SPACING: Duration = Duration::from_millis(40);
+const MIN_DIGEST_INTERVAL: Duration = Duration::from_millis(40);
 
 /// All under one lock: there is no order of locks to get wrong.
 struct Hosts {
@@ -33,7 +33,7 @@
     /// Hosts that others named and that were not heard yet.
     named: HashMap<HostId, SocketAddr>,
     /// The states that were last reported as news.
-    seen: HashMap<HostId, HostState>,
+    reported_states: HashMap<HostId, HostState>,
 }
 
 /// The other entry hosts, as this one sees them.
@@ -44,7 +44,7 @@
     presence: Mutex<Presence>,
     sequence: AtomicU64,
     /// Set when a digest should go out before its time.
-    pub(crate) speak: Notify,
+    pub(crate) send_now: Notify,
     /// Set when the live hosts may have changed.
     pub(crate) changed: Notify,
 }
@@ -53,7 +53,7 @@
     pub(crate) fn new(own: Peer, incarnation: Incarnation, dead_after: Duration) -> Membership {
         let limits = DetectorLimits {
             dead_after,
-            remote_dead_after: dead_after * FAR_PATIENCE,
+            remote_dead_after: dead_after * REMOTE_DEAD_FACTOR,
             echo_timeout: dead_after / 2,
             pause_threshold: dead_after / 2,
             ..DetectorLimits::default()
@@ -62,13 +62,13 @@
             state: Mutex::new(Hosts {
                 table: MemberTable::new(own.clone(), incarnation, limits),
                 named: HashMap::new(),
-                seen: HashMap::new(),
+                reported_states: HashMap::new(),
             }),
             own,
             own_incarnation: incarnation,
             presence: Mutex::new(Presence::Serving),
             sequence: AtomicU64::new(0),
-            speak: Notify::new(),
+            send_now: Notify::new(),
             changed: Notify::new(),
         }
     }
@@ -79,7 +79,7 @@
 
     pub(crate) fn set_presence(&self, presence: Presence) {
         *self.presence.lock() = presence;
-        self.speak.notify_one();
+        self.send_now.notify_one();
     }
 
     /// Live hosts of a data centre, this one too while it serves.
@@ -90,7 +90,7 @@
 
     /// Hosts of the own data centre that may send requests to instances: also the leaving ones, until they are
     /// gone, and always this one.
-    pub(crate) fn sharing(&self) -> Vec<HostId> {
+    pub(crate) fn sharing_hosts(&self) -> Vec<HostId> {
         let mut hosts: Vec<HostId> = self.neighbours().into_iter().map(|member| member.peer.host).collect();
         hosts.push(self.own.host.clone());
         hosts.sort();
@@ -134,18 +134,18 @@
     }
 
     /// Whether a quorum of the data centre has heard this host lately.
-    pub(crate) fn has_authority(&self, dropped: impl Fn(&str) -> bool) -> bool {
-        self.state.lock().table.has_authority(dropped, Instant::now())
+    pub(crate) fn has_authority(&self, delisted: impl Fn(&str) -> bool) -> bool {
+        self.state.lock().table.has_authority(delisted, Instant::now())
     }
 
     /// The hosts of the data centre among which responsibility for keys is divided.
-    pub(crate) fn homes(&self, dropped: impl Fn(&str) -> bool) -> Vec<HostId> {
+    pub(crate) fn responsible_hosts(&self, delisted: impl Fn(&str) -> bool) -> Vec<HostId> {
         let serving = self.presence() == Presence::Serving;
-        self.state.lock().table.responsible_hosts(serving, dropped, Instant::now())
+        self.state.lock().table.responsible_hosts(serving, delisted, Instant::now())
     }
 
     /// Looks at the clock, so that a pause of this host is noticed before anybody is taken for dead.
-    pub(crate) fn awake(&self) {
+    pub(crate) fn tick(&self) {
         self.state.lock().table.tick(Instant::now());
     }
 
@@ -155,7 +155,11 @@
         table.record_sent(sequence, now);
         let reachable = table.reachable(now);
         // While few are known, this host may be a newcomer itself: then it names them each time.
-        let count = if sequence.is_multiple_of(NAMED_EVERY) || sequence < NAMED_EVERY { NAMED } else { 0 };
+        let count = if sequence.is_multiple_of(KNOWN_HOSTS_EVERY) || sequence < KNOWN_HOSTS_EVERY {
+            MAX_KNOWN_HOSTS
+        } else {
+            0
+        };
         let named = reachable.choose_multiple(&mut rand::rng(), count);
         Digest {
             cell: cell.to_owned(),
@@ -174,7 +178,7 @@
     /// find each other (again), the seeds, those named by others and one dead host.
     fn targets(&self, seeds: &[SocketAddr], now: Instant) -> Vec<SocketAddr> {
         let Hosts { table, named, .. } = &*self.state.lock();
-        let mut far: HashMap<&DataCentreId, Vec<SocketAddr>> = HashMap::new();
+        let mut remote: HashMap<&DataCentreId, Vec<SocketAddr>> = HashMap::new();
         let mut targets = Vec::new();
         let mut known = Vec::new();
         for member in table.reachable(now) {
@@ -182,14 +186,14 @@
             if member.peer.data_centre == self.own.data_centre {
                 targets.push(member.peer.peers);
             } else {
-                far.entry(&member.peer.data_centre).or_default().push(member.peer.peers);
+                remote.entry(&member.peer.data_centre).or_default().push(member.peer.peers);
             }
         }
         let mut rng = rand::rng();
         let sequence = self.sequence.load(Ordering::Relaxed);
-        if sequence < NAMED_EVERY || sequence.is_multiple_of(FAR_EVERY) {
-            for addresses in far.values() {
-                targets.extend(addresses.choose_multiple(&mut rng, FAR));
+        if sequence < KNOWN_HOSTS_EVERY || sequence.is_multiple_of(REMOTE_DIGEST_EVERY) {
+            for addresses in remote.values() {
+                targets.extend(addresses.choose_multiple(&mut rng, REMOTE_TARGETS));
             }
         }
         let dead: Vec<SocketAddr> = table
@@ -198,12 +202,12 @@
             .map(|member| member.peer.peers)
             .collect();
         targets.extend(dead.choose(&mut rng));
-        let strangers = seeds.iter().chain(named.values()).filter(|address| !known.contains(address));
-        targets.extend(strangers.filter(|address| **address != self.own.peers));
+        let unconfirmed = seeds.iter().chain(named.values()).filter(|address| !known.contains(address));
+        targets.extend(unconfirmed.filter(|address| **address != self.own.peers));
         targets
     }
 
-    fn hear(&self, digest: &Digest, now: Instant) -> bool {
+    fn receive(&self, digest: &Digest, now: Instant) -> bool {
         let Hosts { table, named, .. } = &mut *self.state.lock();
         let changed = table.receive(digest, now);
         named.remove(&digest.from.host);
@@ -216,48 +220,48 @@
     }
 
     /// Hosts whose state is not what it was at the last call.
-    fn news(&self, now: Instant) -> Vec<(HostId, HostState)> {
-        let Hosts { table, seen, .. } = &mut *self.state.lock();
+    fn state_changes(&self, now: Instant) -> Vec<(HostId, HostState)> {
+        let Hosts { table, reported_states, .. } = &mut *self.state.lock();
         table.remove_expired(now);
-        let mut news = Vec::new();
+        let mut state_changes = Vec::new();
         for member in table.iter() {
             let host = &member.peer.host;
             let Some(state) = table.state(host, now) else { continue };
-            if seen.insert(host.clone(), state) != Some(state) {
-                news.push((host.clone(), state));
+            if reported_states.insert(host.clone(), state) != Some(state) {
+                state_changes.push((host.clone(), state));
             }
         }
-        news
+        state_changes
     }
 }
 
 /// Looks at the clock until the process ends.
-pub(crate) async fn stay_awake(shared: Arc<Shared>) {
+pub(crate) async fn detect_pauses(shared: Arc<Shared>) {
     loop {
-        shared.membership.awake();
+        shared.membership.tick();
         tokio::time::sleep(shared.settings.membership.heartbeat / 2).await;
     }
 }
 
 /// Sends digests until the process ends.
-pub(crate) async fn speak(shared: Arc<Shared>, socket: Arc<UdpSocket>) {
+pub(crate) async fn send_digests(shared: Arc<Shared>, socket: Arc<UdpSocket>) {
     let mut heartbeat = tokio::time::interval(shared.settings.membership.heartbeat);
     heartbeat.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             _ = heartbeat.tick() => {}
-            () = shared.membership.speak.notified() => tokio::time::sleep(SPACING).await,
+            () = shared.membership.send_now.notified() => tokio::time::sleep(MIN_DIGEST_INTERVAL).await,
         }
-        say(&shared, &socket).await;
-        note_news(&shared);
+        send_digest(&shared, &socket).await;
+        report_state_changes(&shared);
     }
 }
 
-async fn say(shared: &Shared, socket: &UdpSocket) {
+async fn send_digest(shared: &Shared, socket: &UdpSocket) {
     let now = Instant::now();
     let (configuration, facts) = (shared.configuration.revision(), shared.facts.own_version());
     let digest = shared.membership.digest(&shared.settings.cell, configuration, facts, now);
-    let Ok(bytes) = wire::seal(shared.links.key(), &digest) else { return };
+    let Ok(bytes) = wire::seal(shared.peer_client.key(), &digest) else { return };
     for target in shared.membership.targets(&shared.settings.seeds, now) {
         // A lost digest is made up for by the next one.
         let _ = socket.send_to(&bytes, target).await;
@@ -265,12 +269,12 @@
     }
 }
 
-fn note_news(shared: &Shared) {
-    let news = shared.membership.news(Instant::now());
-    if news.is_empty() {
+fn report_state_changes(shared: &Shared) {
+    let state_changes = shared.membership.state_changes(Instant::now());
+    if state_changes.is_empty() {
         return;
     }
-    for (host, state) in news {
+    for (host, state) in state_changes {
         match state {
             HostState::Live => events::emit!(shared.log, events::HOST_LIVE, "peer" => host),
             HostState::Leaving => events::emit!(shared.log, events::HOST_LEAVING, "peer" => host),
@@ -278,17 +282,17 @@
         }
     }
     shared.membership.changed.notify_waiters();
-    shared.look_again.notify_one();
+    shared.schedule_needed.notify_one();
 }
 
 /// Hears digests until the process ends.
-pub(crate) async fn hear(shared: Arc<Shared>, socket: Arc<UdpSocket>) {
+pub(crate) async fn receive_digests(shared: Arc<Shared>, socket: Arc<UdpSocket>) {
     let mut buffer = vec![0; wire::MAX_DATAGRAM];
     loop {
         let Ok((length, peer)) = socket.recv_from(&mut buffer).await else { continue };
         shared.metrics.control("digest_received", length);
-        match wire::open::<Digest>(shared.links.key(), &buffer[..length]) {
-            Ok(digest) if digest.cell == shared.settings.cell => heard(&shared, &digest),
+        match wire::open::<Digest>(shared.peer_client.key(), &buffer[..length]) {
+            Ok(digest) if digest.cell == shared.settings.cell => handle_digest(&shared, &digest),
             Ok(_) => {}
             Err(fault) => {
                 events::emit!(shared.log, events::MESSAGE_REFUSED, "peer" => peer.to_string(), "why" => fault.to_string());
@@ -297,18 +301,18 @@
     }
 }
 
-fn heard(shared: &Shared, digest: &Digest) {
-    let changed = shared.membership.hear(digest, Instant::now());
+fn handle_digest(shared: &Shared, digest: &Digest) {
+    let changed = shared.membership.receive(digest, Instant::now());
     if changed {
-        note_news(shared);
+        report_state_changes(shared);
         // A newcomer hears back at once instead of after a heartbeat.
-        shared.membership.speak.notify_one();
+        shared.membership.send_now.notify_one();
     }
     if digest.configuration > shared.configuration.revision() {
-        shared.configuration.behind.notify_one();
+        shared.configuration.pull_needed.notify_one();
     }
-    let near = digest.from.data_centre == *shared.data_centre();
-    if near && shared.facts.is_behind(&digest.from.host, digest.incarnation, digest.facts) {
-        shared.facts_behind.notify_one();
+    let is_neighbour = digest.from.data_centre == *shared.data_centre();
+    if is_neighbour && shared.facts.is_behind(&digest.from.host, digest.incarnation, digest.facts) {
+        shared.facts_pull_needed.notify_one();
     }
 }
--- a/components/node/src/operators.rs
+++ b/components/node/src/operators.rs
@@ -12,20 +12,20 @@
 use crate::commands;
 use crate::shared::Shared;
 
-pub(crate) struct Desk {
+pub(crate) struct OperatorApi {
     shared: Arc<Shared>,
     registry: Registry,
 }
 
-impl Desk {
-    pub(crate) fn new(shared: Arc<Shared>) -> Desk {
+impl OperatorApi {
+    pub(crate) fn new(shared: Arc<Shared>) -> OperatorApi {
         let registry = shared.metrics.registry();
-        Desk { shared, registry }
+        OperatorApi { shared, registry }
     }
 }
 
 #[async_trait]
-impl Operators for Desk {
+impl Operators for OperatorApi {
     async fn execute(&self, command: Command) -> Outcome {
         commands::execute(&self.shared, command).await
     }
@@ -40,7 +40,7 @@
             data_centre: self.shared.own.data_centre.clone(),
             serving: self.shared.membership.presence() == Presence::Serving,
             revision: self.shared.configuration.revision(),
-            platform: self.shared.platform_answers.load(Ordering::Relaxed),
+            platform: self.shared.platform_reachable.load(Ordering::Relaxed),
         }
     }
 
--- a/components/node/src/peers.rs
+++ b/components/node/src/peers.rs
@@ -14,18 +14,18 @@
 use crate::shared::Shared;
 
 /// Longest wait for an answer from a peer.
-pub(crate) const PATIENCE: Duration = Duration::from_millis(800);
+pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 /// A connection without a request for so long is closed by its server.
-const IDLE: Duration = Duration::from_secs(60);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Idle connections kept to one peer.
-const KEPT: usize = 4;
+const MAX_IDLE_PER_PEER: usize = 4;
 /// Connections that peers may have open here.
-const MOST: usize = 512;
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const MAX_CONNECTIONS: usize = 512;
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Why a peer gave no answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Fault {
+pub(crate) enum CallError {
     /// It surely did not get the request.
     NotSent,
     /// It may have carried the request out.
@@ -33,16 +33,16 @@
 }
 
 /// Connections to the other entry hosts.
-pub(crate) struct Links {
+pub(crate) struct PeerClient {
     key: Key,
     metrics: Metrics,
     log: Logger,
     idle: Mutex<HashMap<SocketAddr, Vec<TcpStream>>>,
 }
 
-impl Links {
-    pub(crate) fn new(key: Key, metrics: Metrics, log: Logger) -> Links {
-        Links { key, metrics, log, idle: Mutex::default() }
+impl PeerClient {
+    pub(crate) fn new(key: Key, metrics: Metrics, log: Logger) -> PeerClient {
+        PeerClient { key, metrics, log, idle: Mutex::default() }
     }
 
     pub(crate) fn key(&self) -> &Key {
@@ -50,33 +50,33 @@
     }
 
     /// Sends a request to the peer at `address`.
-    pub(crate) async fn call(&self, address: SocketAddr, request: &Request) -> Result<Answer, Fault> {
-        let exchange = self.exchange(address, request);
-        tokio::time::timeout(PATIENCE, exchange).await.unwrap_or(Err(Fault::Unknown))
+    pub(crate) async fn call(&self, address: SocketAddr, request: &Request) -> Result<Answer, CallError> {
+        let send = self.send(address, request);
+        tokio::time::timeout(CALL_TIMEOUT, send).await.unwrap_or(Err(CallError::Unknown))
     }
 
-    async fn exchange(&self, address: SocketAddr, request: &Request) -> Result<Answer, Fault> {
-        if let Some(mut stream) = self.reuse(address)
-            && let Ok(answer) = self.ask(&mut stream, request).await
+    async fn send(&self, address: SocketAddr, request: &Request) -> Result<Answer, CallError> {
+        if let Some(mut stream) = self.take_idle(address)
+            && let Ok(answer) = self.send_over(&mut stream, request).await
         {
-            self.keep(address, stream);
+            self.put_idle(address, stream);
             return Ok(answer);
         }
         // Every request may be repeated: orders carry their attempt, pulls change nothing.
-        let mut stream = TcpStream::connect(address).await.map_err(|_| Fault::NotSent)?;
+        let mut stream = TcpStream::connect(address).await.map_err(|_| CallError::NotSent)?;
         let _ = stream.set_nodelay(true);
-        let answer = self.ask(&mut stream, request).await.map_err(|fault| {
+        let answer = self.send_over(&mut stream, request).await.map_err(|fault| {
             if fault.kind() == std::io::ErrorKind::InvalidData {
                 let (peer, why) = (address.to_string(), fault.to_string());
                 events::emit!(self.log, events::MESSAGE_REFUSED, "peer" => peer, "why" => why);
             }
-            Fault::Unknown
+            CallError::Unknown
         })?;
-        self.keep(address, stream);
+        self.put_idle(address, stream);
         Ok(answer)
     }
 
-    async fn ask(&self, stream: &mut TcpStream, request: &Request) -> std::io::Result<Answer> {
+    async fn send_over(&self, stream: &mut TcpStream, request: &Request) -> std::io::Result<Answer> {
         let sent = wire::write(stream, &self.key, request).await?;
         self.metrics.control("peer_sent", sent);
         let answer = wire::read(stream, &self.key).await?;
@@ -85,41 +85,41 @@
         Ok(answer)
     }
 
-    fn reuse(&self, address: SocketAddr) -> Option<TcpStream> {
+    fn take_idle(&self, address: SocketAddr) -> Option<TcpStream> {
         self.idle.lock().get_mut(&address)?.pop()
     }
 
-    fn keep(&self, address: SocketAddr, stream: TcpStream) {
+    fn put_idle(&self, address: SocketAddr, stream: TcpStream) {
         let mut idle = self.idle.lock();
-        let kept = idle.entry(address).or_default();
-        if kept.len() < KEPT {
-            kept.push(stream);
+        let connections = idle.entry(address).or_default();
+        if connections.len() < MAX_IDLE_PER_PEER {
+            connections.push(stream);
         }
     }
 }
 
 /// Answers peers until the process ends.
 pub(crate) async fn serve(shared: Arc<Shared>, listener: TcpListener) {
-    let permits = Arc::new(tokio::sync::Semaphore::new(MOST));
+    let permits = Arc::new(tokio::sync::Semaphore::new(MAX_CONNECTIONS));
     loop {
         let Ok(permit) = permits.clone().acquire_owned().await else { return };
         let Ok((stream, peer)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
         let shared = shared.clone();
         tokio::spawn(async move {
-            converse(&shared, stream, peer).await;
+            serve_connection(&shared, stream, peer).await;
             drop(permit);
         });
     }
 }
 
-async fn converse(shared: &Arc<Shared>, mut stream: TcpStream, peer: SocketAddr) {
-    let key = shared.links.key().clone();
+async fn serve_connection(shared: &Arc<Shared>, mut stream: TcpStream, peer: SocketAddr) {
+    let key = shared.peer_client.key().clone();
     loop {
-        let read = tokio::time::timeout(IDLE, wire::read::<Request>(&mut stream, &key)).await;
+        let read = tokio::time::timeout(IDLE_TIMEOUT, wire::read::<Request>(&mut stream, &key)).await;
         let request = match read {
             Ok(Ok(Some((request, _)))) => request,
             Ok(Err(fault)) if fault.kind() == std::io::ErrorKind::InvalidData => {
--- a/components/node/src/pull.rs
+++ b/components/node/src/pull.rs
@@ -9,25 +9,25 @@
 use crate::shared::Shared;
 
 /// Two rounds of pulls keep at least this distance.
-const SPACING: Duration = Duration::from_millis(20);
+const MIN_PULL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Pulls facts from neighbours that have newer ones, until the process ends.
-pub(crate) async fn follow(shared: Arc<Shared>) {
+pub(crate) async fn run(shared: Arc<Shared>) {
     loop {
-        shared.facts_behind.notified().await;
+        shared.facts_pull_needed.notified().await;
         let behind = shared
             .membership
             .neighbours()
             .into_iter()
             .filter(|member| shared.facts.is_behind(&member.peer.host, member.incarnation, member.facts));
         join_all(behind.map(|member| pull(&shared, member))).await;
-        tokio::time::sleep(SPACING).await;
+        tokio::time::sleep(MIN_PULL_INTERVAL).await;
     }
 }
 
 async fn pull(shared: &Arc<Shared>, member: member::Member) {
     let since = shared.facts.known_version(&member.peer.host, member.incarnation);
-    let answer = shared.links.call(member.peer.peers, &Request::Facts { since }).await;
+    let answer = shared.peer_client.call(member.peer.peers, &Request::Facts { since }).await;
     let Ok(Answer::Facts(delta)) = answer else { return };
     let changed = shared.facts.apply(&member.peer.host, member.incarnation, delta);
     crate::owner::observe(shared, changed);
--- a/components/node/src/room.rs
+++ b/components/node/src/reservations.rs
@@ -11,7 +11,7 @@
 use place::{Candidate, Victim};
 use wire::{ReserveOrder, TaskState};
 
-use crate::schedule::{MOST_ORDERS, Orders, Pass, Waiting, order_one};
+use crate::schedule::{MAX_ORDERS, Orders, Pass, PendingWork, order_task};
 use crate::send;
 use crate::shared::Shared;
 
@@ -20,77 +20,79 @@
 /// Urgent work that finds no room stops patient work after so long.
 const PREEMPT_AFTER: Duration = Duration::from_millis(200);
 /// Room for urgent work that has not become free after so long is looked for anew.
-const KEEP_URGENT: Duration = Duration::from_secs(20);
+const URGENT_RESERVATION_TTL: Duration = Duration::from_secs(20);
 /// The same for other work, which waits for tasks to end by themselves.
-const KEEP_OTHER: Duration = Duration::from_secs(1200);
+const RESERVATION_TTL: Duration = Duration::from_secs(1200);
 /// Longer runs without a checkpoint count alike; as a power of two of seconds, half a year.
-const LONGEST_UNSAVED: u8 = 24;
+const MAX_UNSAVED_EXPONENT: u8 = 24;
 /// Bits of a seniority below its priority: the time of acceptance, in milliseconds.
 const SENIORITY_BITS: u32 = 60;
 
 /// Room that is kept for a workload at workers, until it has become free there.
-pub(crate) struct Kept {
-    until: Instant,
+pub(crate) struct Reservation {
+    expires_at: Instant,
     /// Tasks to start on each worker.
     places: BTreeMap<WorkerId, u32>,
 }
 
-impl Kept {
-    pub(crate) fn is_fresh(&self, now: Instant) -> bool {
-        now < self.until
+impl Reservation {
+    pub(crate) fn is_valid(&self, now: Instant) -> bool {
+        now < self.expires_at
     }
 }
 
 /// What is kept for workloads, by name.
-pub(crate) type Keeping = HashMap<WorkloadId, Kept>;
+pub(crate) type Reservations = HashMap<WorkloadId, Reservation>;
 
-pub(crate) fn reservation(
-    one: &Waiting,
+pub(crate) fn reserve_order(
+    work: &PendingWork,
     worker: WorkerId,
     resources: Resources,
     victims: Vec<(Id, Attempt)>,
 ) -> ReserveOrder {
-    ReserveOrder { worker, workload: one.workload.name.clone(), resources, seniority: seniority(one), victims }
+    ReserveOrder { worker, workload: work.workload.name.clone(), resources, seniority: seniority(work), victims }
 }
 
 /// Lower is more senior: by priority, then by time of acceptance. The same at every host.
-fn seniority(one: &Waiting) -> u64 {
-    let tier = match one.workload.priority {
+fn seniority(work: &PendingWork) -> u64 {
+    let tier = match work.workload.priority {
         Priority::Urgent => 0,
         Priority::Normal => 1,
         Priority::Patient => 2,
     };
-    (tier << SENIORITY_BITS) | (one.accepted_ms & ((1 << SENIORITY_BITS) - 1))
+    (tier << SENIORITY_BITS) | (work.accepted_ms & ((1 << SENIORITY_BITS) - 1))
 }
 
 /// Starts tasks on the workers where the kept room has become free, and keeps the rest.
-pub(crate) async fn use_kept(
+pub(crate) async fn use_reservation(
     shared: &Arc<Shared>,
     pass: &mut Pass,
-    keeping: &mut Keeping,
-    one: &Waiting,
+    reservations: &mut Reservations,
+    work: &PendingWork,
     orders: &mut Orders,
 ) {
-    let Some(kept) = keeping.get_mut(&one.workload.name) else { return };
-    let each = &one.workload.each;
-    let renewed =
-        kept.places.iter().map(|(worker, count)| reservation(one, worker.clone(), times(each, *count), Vec::new()));
-    let there = send::reservations(shared, one.partition, one.epoch, renewed.collect()).await;
-    let allowed = pass.allowance(&one.workload.team, each, one.claimant.positions.len());
-    let mut positions = one.claimant.positions[..allowed].iter();
-    for worker in there {
-        let Some(at) = pass.cell.find(&worker) else { continue };
-        let count = kept.places.remove(&worker).unwrap_or(0);
+    let Some(reservation) = reservations.get_mut(&work.workload.name) else { return };
+    let each = &work.workload.each;
+    let renewals = reservation
+        .places
+        .iter()
+        .map(|(worker, count)| reserve_order(work, worker.clone(), multiply(each, *count), Vec::new()));
+    let ready = send::reservations(shared, work.partition, work.epoch, renewals.collect()).await;
+    let allowed = pass.allowance(&work.workload.team, each, work.pending_job.positions.len());
+    let mut positions = work.pending_job.positions[..allowed].iter();
+    for worker in ready {
+        let Some(at) = pass.table.find(&worker) else { continue };
+        let count = reservation.places.remove(&worker).unwrap_or(0);
         for position in positions.by_ref().take(count as usize) {
-            order_one(shared, pass, one, *position, at, orders);
+            order_task(shared, pass, work, *position, at, orders);
         }
     }
-    if kept.places.is_empty() {
-        keeping.remove(&one.workload.name);
+    if reservation.places.is_empty() {
+        reservations.remove(&work.workload.name);
     }
 }
 
-fn times(each: &Resources, count: u32) -> Resources {
+fn multiply(each: &Resources, count: u32) -> Resources {
     Resources {
         cpu_milli: each.cpu_milli.saturating_mul(count),
         memory_mib: each.memory_mib.saturating_mul(count),
@@ -99,20 +101,25 @@
 }
 
 /// For work that found no room: stops patient work for urgent work, and keeps room for what waits long.
-pub(crate) async fn make_room(shared: &Arc<Shared>, pass: &Pass, keeping: &mut Keeping, one: &Waiting) {
-    let waited = pass.now.saturating_duration_since(one.claimant.since);
-    let urgent = one.workload.priority == Priority::Urgent && waited >= PREEMPT_AFTER;
+pub(crate) async fn reserve_or_preempt(
+    shared: &Arc<Shared>,
+    pass: &Pass,
+    reservations: &mut Reservations,
+    work: &PendingWork,
+) {
+    let waited = pass.now.saturating_duration_since(work.pending_job.since);
+    let urgent = work.workload.priority == Priority::Urgent && waited >= PREEMPT_AFTER;
     if !urgent && waited < RESERVE_AFTER {
         return;
     }
     let mut candidates = candidates(pass, urgent);
     let mut chosen: BTreeMap<WorkerId, (u32, Vec<(Id, Attempt)>)> = BTreeMap::new();
-    for _ in one.claimant.positions.iter().take(MOST_ORDERS) {
-        let Some(preemption) = place::preempt(&candidates, &one.workload.each) else { break };
+    for _ in work.pending_job.positions.iter().take(MAX_ORDERS) {
+        let Some(preemption) = place::preempt(&candidates, &work.workload.each) else { break };
         let victims: BTreeSet<(Id, Attempt)> =
             preemption.victims.iter().map(|victim| (victim.task.clone(), victim.attempt)).collect();
         for candidate in candidates.iter_mut().filter(|candidate| candidate.worker == preemption.worker) {
-            use_up(candidate, &victims, &one.workload.each);
+            apply_preemption(candidate, &victims, &work.workload.each);
         }
         let place = chosen.entry(preemption.worker).or_default();
         place.0 += 1;
@@ -125,15 +132,15 @@
     }
     let stopped: usize = chosen.values().map(|(_, victims)| victims.len()).sum();
     if stopped > 0 {
-        events::emit!(shared.log, events::TASK_PREEMPTED, "for" => &one.workload.name, "stopped" => stopped);
+        events::emit!(shared.log, events::TASK_PREEMPTED, "for" => &work.workload.name, "stopped" => stopped);
     }
     let places = chosen.iter().map(|(worker, (count, _))| (worker.clone(), *count)).collect();
-    let keep = if urgent { KEEP_URGENT } else { KEEP_OTHER };
-    keeping.insert(one.workload.name.clone(), Kept { until: pass.now + keep, places });
-    let reservations = chosen
+    let ttl = if urgent { URGENT_RESERVATION_TTL } else { RESERVATION_TTL };
+    reservations.insert(work.workload.name.clone(), Reservation { expires_at: pass.now + ttl, places });
+    let reserve_orders = chosen
         .into_iter()
-        .map(|(worker, (count, victims))| reservation(one, worker, times(&one.workload.each, count), victims));
-    send::reservations(shared, one.partition, one.epoch, reservations.collect()).await;
+        .map(|(worker, (count, victims))| reserve_order(work, worker, multiply(&work.workload.each, count), victims));
+    send::reservations(shared, work.partition, work.epoch, reserve_orders.collect()).await;
 }
 
 /// Workers with what could make room there: for urgent work the patient tasks that may be stopped; for work
@@ -144,22 +151,22 @@
         let ends = matches!(fact.state, TaskState::Running(None) | TaskState::Starting);
         let patient = fact.patient && matches!(fact.state, TaskState::Running(_) | TaskState::Starting);
         if (urgent && patient) || (!urgent && ends) {
-            let unsaved = Duration::from_secs(1 << fact.unsaved.min(LONGEST_UNSAVED));
+            let unsaved = Duration::from_secs(1 << fact.unsaved.min(MAX_UNSAVED_EXPONENT));
             let victim = Victim { task: task.clone(), attempt: *attempt, resources: fact.resources, unsaved };
             by_worker.entry(&fact.worker).or_default().push(victim);
         }
     }
-    (0..pass.cell.len())
-        .filter(|at| pass.cell.is_open(*at))
+    (0..pass.table.len())
+        .filter(|at| pass.table.is_open(*at))
         .map(|at| {
-            let worker = pass.cell.id(at).clone();
+            let worker = pass.table.id(at).clone();
             let patient = by_worker.remove(&worker).unwrap_or_default();
-            Candidate { worker, free: pass.cell.free(at), patient }
+            Candidate { worker, free: pass.table.free(at), patient }
         })
         .collect()
 }
 
-fn use_up(candidate: &mut Candidate, victims: &BTreeSet<(Id, Attempt)>, size: &Resources) {
+fn apply_preemption(candidate: &mut Candidate, victims: &BTreeSet<(Id, Attempt)>, size: &Resources) {
     for victim in candidate.patient.iter().filter(|victim| victims.contains(&(victim.task.clone(), victim.attempt))) {
         candidate.free = candidate.free.checked_add(&victim.resources).unwrap_or(candidate.free);
     }
--- a/components/node/src/schedule.rs
+++ b/components/node/src/schedule.rs
@@ -11,24 +11,24 @@
 use place::{Choice, Demand, Policy, Refusals, Siblings, Usage, Worker, WorkerTable};
 use wire::{ReserveOrder, StartOrder, TaskFact, TaskState};
 
-use crate::room::{Keeping, make_room, reservation, use_kept};
+use crate::reservations::{Reservations, reserve_or_preempt, reserve_order, use_reservation};
 use crate::shared::Shared;
 use crate::{recovery, send};
 
 /// Waiting work is looked at this often even when nothing changed.
-const LOOK: Duration = Duration::from_millis(500);
+const MAX_PASS_INTERVAL: Duration = Duration::from_millis(500);
 /// Two passes keep at least this distance.
-const SPACING: Duration = Duration::from_millis(5);
+const MIN_PASS_INTERVAL: Duration = Duration::from_millis(5);
 /// Tasks of one workload ordered in one pass, so that no pass gets long.
-pub(crate) const MOST_ORDERS: usize = 512;
+pub(crate) const MAX_ORDERS: usize = 512;
 
 /// Work of one workload that waits, with what the decision needs.
-pub(crate) struct Waiting {
+pub(crate) struct PendingWork {
     pub(crate) partition: Partition,
     pub(crate) epoch: Epoch,
-    pub(crate) claimant: PendingJob,
+    pub(crate) pending_job: PendingJob,
     pub(crate) workload: Workload,
-    avoided: Vec<WorkerId>,
+    avoided_workers: Vec<WorkerId>,
     pub(crate) accepted_ms: u64,
 }
 
@@ -38,7 +38,7 @@
 /// The view that one pass decides on.
 pub(crate) struct Pass {
     pub(crate) now: Instant,
-    pub(crate) cell: WorkerTable,
+    pub(crate) table: WorkerTable,
     usage: HashMap<TeamId, Usage>,
     pub(crate) tasks: Vec<(Id, Attempt, TaskFact)>,
     total: Resources,
@@ -47,27 +47,29 @@
 
 /// Looks at waiting work until the process ends.
 pub(crate) async fn run(shared: Arc<Shared>) {
-    let mut keeping = Keeping::new();
+    let mut reservations = Reservations::new();
     loop {
-        let _ = tokio::time::timeout(LOOK, shared.look_again.notified()).await;
+        let _ = tokio::time::timeout(MAX_PASS_INTERVAL, shared.schedule_needed.notified()).await;
         if !shared.is_stopping() {
-            pass(&shared, &mut keeping).await;
+            run_pass(&shared, &mut reservations).await;
         }
-        tokio::time::sleep(SPACING).await;
+        tokio::time::sleep(MIN_PASS_INTERVAL).await;
     }
 }
 
-async fn pass(shared: &Arc<Shared>, keeping: &mut Keeping) {
+async fn run_pass(shared: &Arc<Shared>, reservations: &mut Reservations) {
     let now = Instant::now();
-    let waiting = waiting(shared, now).await;
-    keeping.retain(|name, kept| kept.is_fresh(now) && waiting.iter().any(|one| one.workload.name == *name));
+    let waiting = collect_pending_work(shared, now).await;
+    reservations.retain(|name, reservation| {
+        reservation.is_valid(now) && waiting.iter().any(|work| work.workload.name == *name)
+    });
     if waiting.is_empty() {
         return;
     }
     let mut pass = Pass::new(shared, now);
     let mut orders = Orders::default();
     for at in pass.order(&waiting) {
-        place_one(shared, &mut pass, keeping, &waiting[at], &mut orders).await;
+        place_work(shared, &mut pass, reservations, &waiting[at], &mut orders).await;
     }
     for ((partition, epoch), starts) in orders {
         // Each partition's orders go out on their own: a slow holder must not hold up the next pass.
@@ -76,28 +78,28 @@
     }
 }
 
-async fn waiting(shared: &Arc<Shared>, now: Instant) -> Vec<Waiting> {
+async fn collect_pending_work(shared: &Arc<Shared>, now: Instant) -> Vec<PendingWork> {
     let mut waiting = Vec::new();
     for partition in shared.partitions.owned_here() {
-        if !recovery::may_act(shared, partition).await {
+        if !recovery::check_authority(shared, partition).await {
             continue;
         }
         let found = shared.partitions.with(partition, |owned| {
-            let epoch = owned.book.epoch();
-            let claimants = owned.book.pending_jobs(now).into_iter();
-            let with_job = claimants.filter_map(|claimant| {
-                let job = owned.book.jobs().get(&claimant.workload)?;
+            let epoch = owned.tracker.epoch();
+            let pending_jobs = owned.tracker.pending_jobs(now).into_iter();
+            let with_workloads = pending_jobs.filter_map(|pending_job| {
+                let job = owned.tracker.jobs().get(&pending_job.workload)?;
                 let accepted = job.versioned.record.accepted_at.duration_since(UNIX_EPOCH).unwrap_or_default();
-                Some(Waiting {
+                Some(PendingWork {
                     partition,
                     epoch,
                     workload: job.workload().clone(),
-                    avoided: job.failures.avoided_workers(now).cloned().collect(),
+                    avoided_workers: job.failures.avoided_workers(now).cloned().collect(),
                     accepted_ms: accepted.as_millis() as u64,
-                    claimant,
+                    pending_job,
                 })
             });
-            with_job.collect::<Vec<_>>()
+            with_workloads.collect::<Vec<_>>()
         });
         waiting.extend(found.unwrap_or_default());
     }
@@ -108,28 +110,28 @@
     fn new(shared: &Shared, now: Instant) -> Pass {
         let workers = shared.facts.workers();
         let mut total = Resources::ZERO;
-        let mut cell = WorkerTable::default();
+        let mut table = WorkerTable::default();
         for (id, _, fact) in workers {
             let Some(listed) = shared.listing.get(&id) else { continue };
             total = total.checked_add(&fact.capacity).unwrap_or(total);
-            cell.upsert(Worker { id, rack: listed.rack, capacity: fact.capacity, free: fact.free, open: fact.open });
+            table.upsert(Worker { id, rack: listed.rack, capacity: fact.capacity, free: fact.free, open: fact.open });
         }
         let tasks = shared.facts.tasks();
         let usage = usage(shared, &tasks);
-        Pass { now, cell, usage, tasks, total, refusals: Refusals::default() }
+        Pass { now, table, usage, tasks, total, refusals: Refusals::default() }
     }
 
-    fn order(&self, waiting: &[Waiting]) -> Vec<usize> {
-        let claimants: Vec<place::WaitingWork> = waiting
+    fn order(&self, waiting: &[PendingWork]) -> Vec<usize> {
+        let waiting_work: Vec<place::WaitingWork> = waiting
             .iter()
-            .map(|one| place::WaitingWork {
-                workload: one.workload.name.clone(),
-                team: one.workload.team.clone(),
-                priority: one.workload.priority,
-                waited: self.now.saturating_duration_since(one.claimant.since),
+            .map(|work| place::WaitingWork {
+                workload: work.workload.name.clone(),
+                team: work.workload.team.clone(),
+                priority: work.workload.priority,
+                waited: self.now.saturating_duration_since(work.pending_job.since),
             })
             .collect();
-        place::order(&claimants, &self.usage, &self.total)
+        place::order(&waiting_work, &self.usage, &self.total)
     }
 
     /// How many more tasks of this size the team may have.
@@ -179,39 +181,45 @@
     usage
 }
 
-async fn place_one(shared: &Arc<Shared>, pass: &mut Pass, keeping: &mut Keeping, one: &Waiting, orders: &mut Orders) {
-    if keeping.contains_key(&one.workload.name) {
-        return use_kept(shared, pass, keeping, one, orders).await;
+async fn place_work(
+    shared: &Arc<Shared>,
+    pass: &mut Pass,
+    reservations: &mut Reservations,
+    work: &PendingWork,
+    orders: &mut Orders,
+) {
+    if reservations.contains_key(&work.workload.name) {
+        return use_reservation(shared, pass, reservations, work, orders).await;
     }
-    let closed = close(pass, &one.avoided);
-    let refused = match one.workload.kind {
-        Kind::Gang => place_gang(shared, pass, one, orders).await,
-        Kind::Service | Kind::Batch => place_each(shared, pass, one, orders),
+    let closed = close_avoided_workers(pass, &work.avoided_workers);
+    let unplaced = match work.workload.kind {
+        Kind::Gang => place_gang(shared, pass, work, orders).await,
+        Kind::Service | Kind::Batch => place_tasks(shared, pass, work, orders),
     };
     for at in closed {
-        pass.cell.set_open(at, true);
+        pass.table.set_open(at, true);
     }
-    let Some(choice) = refused else { return };
+    let Some(choice) = unplaced else { return };
     let reason = match &choice {
         Choice::Waiting(reason) | Choice::Impossible(reason) => reason.clone(),
         Choice::Placed(_) => return,
     };
-    shared.partitions.with(one.partition, |owned| owned.book.set_waiting_reason(&one.workload.name, &reason));
+    shared.partitions.with(work.partition, |owned| owned.tracker.set_waiting_reason(&work.workload.name, &reason));
     if let Choice::Waiting(Reason::NoRoom { .. } | Reason::GangIncomplete { .. }) = choice {
-        make_room(shared, pass, keeping, one).await;
+        reserve_or_preempt(shared, pass, reservations, work).await;
     }
 }
 
 /// Closes workers that failed the workload lately, unless there would be none left. Returns those closed.
-fn close(pass: &mut Pass, avoided: &[WorkerId]) -> Vec<usize> {
-    if avoided.len() >= pass.cell.len() {
+fn close_avoided_workers(pass: &mut Pass, avoided_workers: &[WorkerId]) -> Vec<usize> {
+    if avoided_workers.len() >= pass.table.len() {
         return Vec::new();
     }
     let mut closed = Vec::new();
-    for worker in avoided {
-        let Some(at) = pass.cell.find(worker) else { continue };
-        if pass.cell.is_open(at) {
-            pass.cell.set_open(at, false);
+    for worker in avoided_workers {
+        let Some(at) = pass.table.find(worker) else { continue };
+        if pass.table.is_open(at) {
+            pass.table.set_open(at, false);
             closed.push(at);
         }
     }
@@ -223,9 +231,9 @@
 }
 
 /// Places tasks one by one; returns why the first that stays behind does.
-fn place_each(shared: &Shared, pass: &mut Pass, one: &Waiting, orders: &mut Orders) -> Option<Choice> {
-    let workload = &one.workload;
-    let positions = &one.claimant.positions[..one.claimant.positions.len().min(MOST_ORDERS)];
+fn place_tasks(shared: &Shared, pass: &mut Pass, work: &PendingWork, orders: &mut Orders) -> Option<Choice> {
+    let workload = &work.workload;
+    let positions = &work.pending_job.positions[..work.pending_job.positions.len().min(MAX_ORDERS)];
     let allowed = pass.allowance(&workload.team, &workload.each, positions.len());
     let demand = demand(workload);
     let mut siblings = siblings(pass, workload);
@@ -236,16 +244,16 @@
             return Some(choice.clone());
         }
         let began = Instant::now();
-        let choice = place::choose(&pass.cell, &demand, &siblings);
+        let choice = place::choose(&pass.table, &demand, &siblings);
         shared.metrics.decision_seconds.observe(began.elapsed().as_secs_f64());
         let Choice::Placed(at) = choice else {
-            pass.refusals.record(workload.each, &choice, one.avoided.is_empty());
+            pass.refusals.record(workload.each, &choice, work.avoided_workers.is_empty());
             return Some(choice);
         };
-        if !order_one(shared, pass, one, *position, at, orders) {
+        if !order_task(shared, pass, work, *position, at, orders) {
             return None;
         }
-        siblings.add(&pass.cell, at);
+        siblings.add(&pass.table, at);
     }
     if allowed < positions.len() {
         return Some(pass.over_quota(&workload.team));
@@ -259,65 +267,65 @@
         return siblings;
     }
     for (task, _, fact) in &pass.tasks {
-        let lives = !matches!(fact.state, TaskState::Ended(_) | TaskState::Stopping);
+        let is_live = !matches!(fact.state, TaskState::Ended(_) | TaskState::Stopping);
         if task.workload == workload.name
-            && lives
-            && let Some(at) = pass.cell.find(&fact.worker)
+            && is_live
+            && let Some(at) = pass.table.find(&fact.worker)
         {
-            siblings.add(&pass.cell, at);
+            siblings.add(&pass.table, at);
         }
     }
     siblings
 }
 
 /// Orders one task and takes its room in this pass's view.
-pub(crate) fn order_one(
+pub(crate) fn order_task(
     shared: &Shared,
     pass: &mut Pass,
-    one: &Waiting,
+    work: &PendingWork,
     position: u32,
     at: usize,
     orders: &mut Orders,
 ) -> bool {
-    let worker = pass.cell.id(at).clone();
+    let worker = pass.table.id(at).clone();
     let now = Instant::now();
-    let order = shared.partitions.with(one.partition, |owned| {
-        let current = owned.book.epoch() == one.epoch && owned.authority.check(now);
-        current.then(|| owned.book.create_start_order(&one.workload.name, position, &worker, now)).flatten()
+    let order = shared.partitions.with(work.partition, |owned| {
+        let current = owned.tracker.epoch() == work.epoch && owned.authority.check(now);
+        current.then(|| owned.tracker.create_start_order(&work.workload.name, position, &worker, now)).flatten()
     });
     let Some(order) = order.flatten() else { return false };
-    pass.cell.allocate(at, &one.workload.each);
-    pass.spend(&one.workload.team, &one.workload.each);
-    orders.entry((one.partition, one.epoch)).or_default().push(order);
+    pass.table.allocate(at, &work.workload.each);
+    pass.spend(&work.workload.team, &work.workload.each);
+    orders.entry((work.partition, work.epoch)).or_default().push(order);
     true
 }
 
 /// Places all tasks of a gang or none. Its room is kept at every holder before the first task is ordered, so
 /// that none starts without the others.
-async fn place_gang(shared: &Arc<Shared>, pass: &mut Pass, one: &Waiting, orders: &mut Orders) -> Option<Choice> {
-    let workload = &one.workload;
-    let count = one.claimant.positions.len();
+async fn place_gang(shared: &Arc<Shared>, pass: &mut Pass, work: &PendingWork, orders: &mut Orders) -> Option<Choice> {
+    let workload = &work.workload;
+    let count = work.pending_job.positions.len();
     if pass.allowance(&workload.team, &workload.each, count) < count {
         return Some(pass.over_quota(&workload.team));
     }
     let began = Instant::now();
-    let placed = place::choose_gang(&mut pass.cell, &demand(workload), count as u32);
+    let placed = place::choose_gang(&mut pass.table, &demand(workload), count as u32);
     shared.metrics.decision_seconds.observe(began.elapsed().as_secs_f64());
     let places = match placed {
         Ok(places) => places,
         Err(choice) => return Some(choice),
     };
     for at in &places {
-        pass.cell.release(*at, &workload.each);
+        pass.table.release(*at, &workload.each);
     }
-    let reservations = keep(pass, one, &places);
-    let asked = reservations.len();
-    let there = send::reservations(shared, one.partition, one.epoch, reservations).await;
-    if there.len() < asked {
+    let reserve_orders = reserve_orders(pass, work, &places);
+    let requested = reserve_orders.len();
+    let ready = send::reservations(shared, work.partition, work.epoch, reserve_orders).await;
+    if ready.len() < requested {
         return Some(Choice::Waiting(Reason::GangIncomplete { fitting: 0, needed: count as u32 }));
     }
-    for (position, at) in one.claimant.positions.iter().zip(places) {
-        if !order_one(shared, pass, one, *position, at, orders) {
+    for (position, at) in work.pending_job.positions.iter().zip(places) {
+        if !order_task(shared, pass, work, *position, at, orders) {
             return None;
         }
     }
@@ -325,12 +333,12 @@
 }
 
 /// One reservation for each worker that gets tasks.
-fn keep(pass: &Pass, one: &Waiting, places: &[usize]) -> Vec<ReserveOrder> {
+fn reserve_orders(pass: &Pass, work: &PendingWork, places: &[usize]) -> Vec<ReserveOrder> {
     let mut sums: BTreeMap<usize, Resources> = BTreeMap::new();
     for at in places {
         let sum = sums.entry(*at).or_default();
-        *sum = sum.checked_add(&one.workload.each).unwrap_or(*sum);
+        *sum = sum.checked_add(&work.workload.each).unwrap_or(*sum);
     }
-    let order = |(at, resources)| reservation(one, pass.cell.id(at).clone(), resources, Vec::new());
+    let order = |(at, resources)| reserve_order(work, pass.table.id(at).clone(), resources, Vec::new());
     sums.into_iter().map(order).collect()
 }
--- a/components/node/src/services.rs
+++ b/components/node/src/services.rs
@@ -12,26 +12,26 @@
 use crate::shared::Shared;
 
 /// Two refreshes keep at least this distance.
-const SPACING: Duration = Duration::from_millis(20);
+const MIN_REFRESH_INTERVAL: Duration = Duration::from_millis(20);
 /// The gateway is told the hosts this often even when nothing changed.
-const LOOK: Duration = Duration::from_millis(100);
+const HOST_REFRESH_INTERVAL: Duration = Duration::from_millis(100);
 /// It is told all instances anew after so many looks.
-const ALL_EVERY: u32 = 20;
+const FULL_REFRESH_EVERY: u32 = 20;
 
 /// Notes that instances may have changed.
-pub(crate) fn refresh(shared: &Shared) {
+pub(crate) fn notify_changed(shared: &Shared) {
     shared.services_changed.notify_one();
 }
 
 /// Keeps the gateway up to date until the process ends.
 pub(crate) async fn run(shared: Arc<Shared>) {
-    for look in 0u32.. {
-        let changed = tokio::time::timeout(LOOK, shared.services_changed.notified()).await.is_ok();
-        if changed || look.is_multiple_of(ALL_EVERY) {
+    for round in 0u32.. {
+        let changed = tokio::time::timeout(HOST_REFRESH_INTERVAL, shared.services_changed.notified()).await.is_ok();
+        if changed || round.is_multiple_of(FULL_REFRESH_EVERY) {
             shared.gateway.update_instances(instances(&shared));
         }
         shared.gateway.update_hosts(topology(&shared));
-        tokio::time::sleep(SPACING).await;
+        tokio::time::sleep(MIN_REFRESH_INTERVAL).await;
     }
 }
 
@@ -46,7 +46,7 @@
 }
 
 fn topology(shared: &Shared) -> Topology {
-    let hosts = shared.membership.sharing();
+    let hosts = shared.membership.sharing_hosts();
     let neighbours = shared.membership.reachable().into_iter().map(|member| Neighbour {
         host: member.peer.host.clone(),
         data_centre: member.peer.data_centre.clone(),
@@ -54,11 +54,11 @@
         live: shared.membership.state(&member.peer.host) == Some(member::HostState::Live),
     });
     let (now, lease) = (Instant::now(), shared.settings.tasks.lease);
-    let dropped = |host: &str| shared.listing.gone_for(host, lease, now);
+    let delisted = |host: &str| shared.listing.missing_for(host, lease, now);
     Topology {
         hosts,
-        homes: shared.membership.homes(dropped),
+        homes: shared.membership.responsible_hosts(delisted),
         neighbours: neighbours.collect(),
-        certain: shared.membership.has_authority(dropped),
+        certain: shared.membership.has_authority(delisted),
     }
 }
--- a/components/node/src/shared.rs
+++ b/components/node/src/shared.rs
@@ -17,11 +17,11 @@
 
 use crate::commit::Committer;
 use crate::configuration::Configuration;
-use crate::holds::Holds;
+use crate::held_workers::HeldWorkers;
 use crate::listing::Listing;
 use crate::membership::Membership;
 use crate::owner::Partitions;
-use crate::peers::Links;
+use crate::peers::PeerClient;
 
 pub(crate) struct Shared {
     pub(crate) settings: Settings,
@@ -34,20 +34,20 @@
     pub(crate) lister: Arc<dyn Lister>,
     pub(crate) budget: Arc<Budget>,
     /// Whether the platform answered the last call.
-    pub(crate) platform_answers: AtomicBool,
-    pub(crate) links: Links,
+    pub(crate) platform_reachable: AtomicBool,
+    pub(crate) peer_client: PeerClient,
     pub(crate) membership: Membership,
     pub(crate) configuration: Configuration,
     pub(crate) listing: Listing,
     pub(crate) facts: Facts,
-    pub(crate) holds: Holds,
+    pub(crate) held_workers: HeldWorkers,
     pub(crate) partitions: Partitions,
     pub(crate) committer: Committer,
     pub(crate) gateway: Arc<Gateway>,
     /// Set when something may let waiting work start.
-    pub(crate) look_again: Notify,
+    pub(crate) schedule_needed: Notify,
     /// Set when a neighbour has newer facts.
-    pub(crate) facts_behind: Notify,
+    pub(crate) facts_pull_needed: Notify,
     /// Set when service instances may have changed.
     pub(crate) services_changed: Notify,
     pub(crate) stopping: watch::Sender<bool>,
@@ -59,7 +59,7 @@
     }
 
     /// Longest gap between two looks at the clock that is not a pause.
-    pub(crate) fn pause_bound(&self) -> Duration {
+    pub(crate) fn max_clock_gap(&self) -> Duration {
         self.settings.membership.dead_after
     }
 
@@ -68,11 +68,11 @@
         ledger::LeaseLimits { lease, margin: lease / 10 }
     }
 
-    pub(crate) fn platform_said<T>(&self, outcome: &Result<T, store::Fault>) {
+    pub(crate) fn record_platform_result<T>(&self, outcome: &Result<T, store::Fault>) {
         match outcome {
-            Ok(_) | Err(store::Fault::Refused(_)) => self.platform_answers.store(true, Ordering::Relaxed),
+            Ok(_) | Err(store::Fault::Refused(_)) => self.platform_reachable.store(true, Ordering::Relaxed),
             Err(store::Fault::NotSent(_) | store::Fault::Unknown(_)) => {
-                self.platform_answers.store(false, Ordering::Relaxed);
+                self.platform_reachable.store(false, Ordering::Relaxed);
             }
             Err(store::Fault::OverBudget | store::Fault::TooLarge(..)) => {}
         }
--- a/components/node/src/show.rs
+++ b/components/node/src/show.rs
@@ -14,14 +14,14 @@
 use crate::shared::Shared;
 
 /// Shows a table with the rows of all hosts that can be reached.
-pub(crate) async fn everywhere(shared: &Arc<Shared>, statement: &Statement, text: &str) -> Result<Table, String> {
+pub(crate) async fn show_all_hosts(shared: &Arc<Shared>, statement: &Statement, text: &str) -> Result<Table, String> {
     let mut table = table(shared, statement)?;
-    if !spans_hosts(statement) {
+    if !needs_all_hosts(statement) {
         return finish(shared, table, statement);
     }
     let request = Request::Show { statement: text.to_owned() };
-    let others = shared.membership.reachable();
-    let calls = others.iter().map(|member| shared.links.call(member.peer.peers, &request));
+    let peers = shared.membership.reachable();
+    let calls = peers.iter().map(|member| shared.peer_client.call(member.peer.peers, &request));
     for answer in join_all(calls).await {
         if let Ok(Answer::Rows(rows)) = answer {
             table.rows.extend(rows);
@@ -34,7 +34,7 @@
     finish(shared, table, statement)
 }
 
-fn spans_hosts(statement: &Statement) -> bool {
+fn needs_all_hosts(statement: &Statement) -> bool {
     match statement {
         Statement::Show { topic, .. } => matches!(topic, Topic::Tasks | Topic::Workers | Topic::Requests),
         _ => true,
@@ -42,7 +42,7 @@
 }
 
 /// The rows of this host alone, for a peer that asked.
-pub(crate) fn local(shared: &Shared, text: &str) -> Result<Vec<Vec<String>>, String> {
+pub(crate) fn local_rows(shared: &Shared, text: &str) -> Result<Vec<Vec<String>>, String> {
     let statement = query::parse_one(text).map_err(|fault| fault.to_string())?;
     Ok(table(shared, &statement)?.rows)
 }
@@ -73,7 +73,7 @@
             table.rows.truncate(usize::try_from(*limit).unwrap_or(usize::MAX));
         }
         Statement::Why { subject } if table.rows.is_empty() => {
-            table.rows.push(unanswered(shared, subject)?);
+            table.rows.push(explain_unowned(shared, subject)?);
         }
         _ => {}
     }
@@ -81,7 +81,7 @@
 }
 
 /// For what no host that could be reached answers for.
-fn unanswered(shared: &Shared, subject: &Subject) -> Result<Vec<String>, String> {
+fn explain_unowned(shared: &Shared, subject: &Subject) -> Result<Vec<String>, String> {
     let (name, workload) = match subject {
         Subject::Workload(name) => (name.clone(), name.clone()),
         Subject::Task(name) => {
@@ -109,7 +109,7 @@
     let now = Instant::now();
     for number in shared.partitions.numbers() {
         shared.partitions.with(number, |owned| {
-            for job in owned.book.jobs().values() {
+            for job in owned.tracker.jobs().values() {
                 let workload = job.workload();
                 for (index, task) in &job.tasks {
                     let waits = matches!(task.phase, Phase::Waiting | Phase::Unknown);
@@ -162,7 +162,7 @@
         "free_memory",
         "cores",
     ]);
-    for (worker, held) in shared.holds.all() {
+    for (worker, held) in shared.held_workers.all() {
         let fact = held.ledger.lock().worker_fact(Instant::now());
         let rack = shared.listing.get(&worker).map(|listed| listed.rack).unwrap_or_default();
         let state = match (&fact.reachable, &fact.leaving, &fact.probation) {
@@ -289,15 +289,15 @@
     }
     for number in shared.partitions.numbers() {
         shared.partitions.with(number, |owned| {
-            for job in owned.book.jobs().values() {
+            for job in owned.tracker.jobs().values() {
                 for index in job.tasks.keys() {
                     let id = job.id(*index);
-                    let asked = match subject {
+                    let matches_subject = match subject {
                         Subject::Task(name) => id.to_string() == *name,
                         Subject::Workload(name) => id.workload == *name,
                         _ => false,
                     };
-                    if asked {
+                    if matches_subject {
                         let reason = job.reason(*index, now);
                         table.rows.push(vec![id.to_string(), reason.to_string(), reason.remedy().to_owned()]);
                     }
@@ -309,7 +309,7 @@
 }
 
 fn why_worker(shared: &Shared, name: &str) -> Option<Vec<String>> {
-    let held = shared.holds.get(name)?;
+    let held = shared.held_workers.get(name)?;
     let fact = held.ledger.lock().worker_fact(Instant::now());
     let (why, remedy) = if fact.lapsed {
         (
--- a/components/node/src/start.rs
+++ b/components/node/src/start.rs
@@ -20,20 +20,21 @@
 
 use crate::commit::Committer;
 use crate::configuration::Configuration;
-use crate::holds::Holds;
+use crate::held_workers::HeldWorkers;
 use crate::listing::Listing;
 use crate::membership::Membership;
-use crate::operators::Desk;
+use crate::operators::OperatorApi;
 use crate::owner::Partitions;
-use crate::peers::Links;
+use crate::peers::PeerClient;
 use crate::shared::{Shared, incarnation};
 use crate::{
-    commit, configuration, holds, listing, membership, owner, peers, pull, schedule, services, stop, sweep, usage,
+    commit, configuration, held_workers, listing, membership, owner, peers, pull, schedule, services, stop, sweep,
+    usage,
 };
 
 /// Why an entry host could not be started.
 #[derive(Debug)]
-pub enum Fault {
+pub enum StartError {
     /// An own address can't be listened on.
     Listen {
         /// The field of the settings.
@@ -45,15 +46,15 @@
     },
 }
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for StartError {
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Fault::Listen { field, address, why } => write!(out, "{field}: can't listen on {address}: {why}"),
+            StartError::Listen { field, address, why } => write!(out, "{field}: can't listen on {address}: {why}"),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for StartError {}
 
 /// Connections that peers may relay requests over.
 const RELAY_CONNECTIONS: usize = 4096;
@@ -66,16 +67,19 @@
 }
 
 /// Runs an entry host until `told` completes and the planned stop has ended.
-pub async fn run(settings: Settings, log: Logger, told: impl Future<Output = ()>) -> Result<(), Fault> {
+pub async fn run(settings: Settings, log: Logger, shutdown: impl Future<Output = ()>) -> Result<(), StartError> {
     let sockets = listen(&settings).await?;
-    let shared = assemble(settings, log);
+    let shared = build_shared(settings, log);
     let operators =
-        api::start(shared.settings.listen.operators, Arc::new(Desk::new(shared.clone())), &events::silent()).map_err(
-            |why| Fault::Listen { field: "listen.operators", address: shared.settings.listen.operators, why },
-        )?;
+        api::start(shared.settings.listen.operators, Arc::new(OperatorApi::new(shared.clone())), &events::silent())
+            .map_err(|why| StartError::Listen {
+                field: "listen.operators",
+                address: shared.settings.listen.operators,
+                why,
+            })?;
     let (stop_serving, servers) = serve(&shared, sockets);
     events::emit!(shared.log, events::STARTED, "incarnation" => shared.owner.incarnation);
-    told.await;
+    shutdown.await;
     stop::leave(&shared).await;
     stop_serving.send_replace(true);
     for server in servers {
@@ -83,24 +87,26 @@
     }
     stop::hand_over_keys(&shared).await;
     let _ = tokio::time::timeout(Duration::from_secs(2), operators.close()).await;
-    stop::gone(&shared).await;
+    stop::announce_gone(&shared).await;
     Ok(())
 }
 
-async fn listen(settings: &Settings) -> Result<Sockets, Fault> {
+async fn listen(settings: &Settings) -> Result<Sockets, StartError> {
     let addresses = &settings.listen;
-    let fault = |field: &'static str, address: SocketAddr| {
-        move |why: io::Error| Fault::Listen { field, address, why: why.to_string() }
+    let listen_error = |field: &'static str, address: SocketAddr| {
+        move |why: io::Error| StartError::Listen { field, address, why: why.to_string() }
     };
     Ok(Sockets {
-        callers: TcpListener::bind(addresses.callers).await.map_err(fault("listen.callers", addresses.callers))?,
-        relay: TcpListener::bind(addresses.relay).await.map_err(fault("listen.relay", addresses.relay))?,
-        peers: TcpListener::bind(addresses.peers).await.map_err(fault("listen.peers", addresses.peers))?,
-        digests: UdpSocket::bind(addresses.peers).await.map_err(fault("listen.peers", addresses.peers))?,
+        callers: TcpListener::bind(addresses.callers)
+            .await
+            .map_err(listen_error("listen.callers", addresses.callers))?,
+        relay: TcpListener::bind(addresses.relay).await.map_err(listen_error("listen.relay", addresses.relay))?,
+        peers: TcpListener::bind(addresses.peers).await.map_err(listen_error("listen.peers", addresses.peers))?,
+        digests: UdpSocket::bind(addresses.peers).await.map_err(listen_error("listen.peers", addresses.peers))?,
     })
 }
 
-fn assemble(settings: Settings, log: Logger) -> Arc<Shared> {
+fn build_shared(settings: Settings, log: Logger) -> Arc<Shared> {
     let now = Instant::now();
     let own = Peer {
         host: settings.host.clone(),
@@ -116,18 +122,18 @@
         store: Arc::new(Client::new(address, timeout, budget.clone())),
         lister: Arc::new(ListClient::new(address, timeout, budget.clone())),
         budget,
-        platform_answers: AtomicBool::new(false),
-        links: Links::new(wire::Key::new(&settings.shared_key), metrics.clone(), log.clone()),
+        platform_reachable: AtomicBool::new(false),
+        peer_client: PeerClient::new(wire::Key::new(&settings.shared_key), metrics.clone(), log.clone()),
         membership: Membership::new(own.clone(), owner.incarnation, settings.membership.dead_after),
         configuration: Configuration::new(),
         listing: Listing::default(),
         facts: Facts::new(own.host.clone()),
-        holds: Holds::default(),
+        held_workers: HeldWorkers::default(),
         partitions: Partitions::new(settings.tasks.partitions, now),
         committer: Committer::new(),
         gateway: Gateway::new(&settings, metrics.clone(), log.clone()),
-        look_again: Notify::new(),
-        facts_behind: Notify::new(),
+        schedule_needed: Notify::new(),
+        facts_pull_needed: Notify::new(),
         services_changed: Notify::new(),
         stopping: watch::Sender::new(false),
         metrics,
@@ -143,14 +149,14 @@
 /// Starts all loops and servers. The callers' and relay servers end after the returned signal.
 fn serve(shared: &Arc<Shared>, sockets: Sockets) -> (watch::Sender<bool>, Servers) {
     let digests = Arc::new(sockets.digests);
-    tokio::spawn(membership::stay_awake(shared.clone()));
-    tokio::spawn(membership::hear(shared.clone(), digests.clone()));
-    tokio::spawn(membership::speak(shared.clone(), digests));
+    tokio::spawn(membership::detect_pauses(shared.clone()));
+    tokio::spawn(membership::receive_digests(shared.clone(), digests.clone()));
+    tokio::spawn(membership::send_digests(shared.clone(), digests));
     tokio::spawn(peers::serve(shared.clone(), sockets.peers));
-    tokio::spawn(configuration::follow(shared.clone()));
-    tokio::spawn(listing::follow(shared.clone()));
-    tokio::spawn(pull::follow(shared.clone()));
-    tokio::spawn(holds::run(shared.clone()));
+    tokio::spawn(configuration::run(shared.clone()));
+    tokio::spawn(listing::run(shared.clone()));
+    tokio::spawn(pull::run(shared.clone()));
+    tokio::spawn(held_workers::run(shared.clone()));
     tokio::spawn(owner::run(shared.clone()));
     tokio::spawn(schedule::run(shared.clone()));
     tokio::spawn(commit::run(shared.clone()));
--- a/components/node/src/stop.rs
+++ b/components/node/src/stop.rs
@@ -9,34 +9,34 @@
 use crate::shared::Shared;
 
 /// The balancer and the peers have this long to see that the host is leaving.
-const NOTICE: Duration = Duration::from_millis(1500);
+const LEAVING_NOTICE: Duration = Duration::from_millis(1500);
 /// Workers and partitions that nobody took by then are left to the failure detector.
-const HANDOVER: Duration = Duration::from_secs(6);
-const LOOK: Duration = Duration::from_millis(50);
+const HANDOVER_TIMEOUT: Duration = Duration::from_secs(6);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Bytes of keys that are sent at once, and what a key counts beside its answer's body.
-const BATCH: usize = 1024 * 1024;
+const MAX_BATCH_BYTES: usize = 1024 * 1024;
 const KEY_OVERHEAD: usize = 512;
 
 /// Hands over all that this host is responsible for, while it still serves.
 pub(crate) async fn leave(shared: &Arc<Shared>) {
     events::emit!(shared.log, events::STOPPING);
-    let began = Instant::now();
+    let started_at = Instant::now();
     shared.gateway.leave();
     shared.membership.set_presence(Presence::Leaving);
     shared.stopping.send_replace(true);
-    while has_heirs(shared) && began.elapsed() < HANDOVER && holds_something(shared) {
-        tokio::time::sleep(LOOK).await;
+    while has_successor(shared) && started_at.elapsed() < HANDOVER_TIMEOUT && has_responsibilities(shared) {
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    tokio::time::sleep(NOTICE.saturating_sub(began.elapsed())).await;
+    tokio::time::sleep(LEAVING_NOTICE.saturating_sub(started_at.elapsed())).await;
 }
 
 /// Whether another host of the data centre can take over. When all leave at once, nobody is waited for.
-fn has_heirs(shared: &Shared) -> bool {
+fn has_successor(shared: &Shared) -> bool {
     !shared.membership.live_in(shared.data_centre()).is_empty()
 }
 
-fn holds_something(shared: &Shared) -> bool {
-    shared.holds.len() > 0 || !shared.partitions.owned_here().is_empty()
+fn has_responsibilities(shared: &Shared) -> bool {
+    shared.held_workers.len() > 0 || !shared.partitions.owned_here().is_empty()
 }
 
 /// Hands over the keys that this host remembers, once nothing runs here any more. Where that fails, the next
@@ -44,11 +44,11 @@
 pub(crate) async fn hand_over_keys(shared: &Arc<Shared>) {
     for (host, keys) in shared.gateway.keys_to_hand_over() {
         let Some(member) = shared.membership.get(&host) else { continue };
-        let mut batches = batches(keys).into_iter().peekable();
+        let mut batches = split_into_batches(keys).into_iter().peekable();
         while let Some(keys) = batches.next() {
             let last = batches.peek().is_none();
             let request = Request::Keys { from: shared.own.host.clone(), keys, last };
-            let answer = shared.links.call(member.peer.peers, &request).await;
+            let answer = shared.peer_client.call(member.peer.peers, &request).await;
             if answer != Ok(Answer::Done) {
                 break;
             }
@@ -58,12 +58,12 @@
 
 /// Splits keys so that each part fits a frame with room to spare; there is always one part, so that a host that
 /// gets nothing is told so.
-fn batches(keys: Vec<Remembered>) -> Vec<Vec<Remembered>> {
+fn split_into_batches(keys: Vec<Remembered>) -> Vec<Vec<Remembered>> {
     let mut batches = vec![Vec::new()];
     let mut size = 0;
     for key in keys {
         let length = key.answer.as_ref().map_or(0, |answer| answer.body.len()) + KEY_OVERHEAD;
-        if size + length > BATCH {
+        if size + length > MAX_BATCH_BYTES {
             batches.push(Vec::new());
             size = 0;
         }
@@ -76,8 +76,8 @@
 }
 
 /// Says that the host is gone, so that nobody waits for its silence.
-pub(crate) async fn gone(shared: &Arc<Shared>) {
+pub(crate) async fn announce_gone(shared: &Arc<Shared>) {
     shared.membership.set_presence(Presence::Gone);
-    tokio::time::sleep(LOOK * 2).await;
+    tokio::time::sleep(POLL_INTERVAL * 2).await;
     events::emit!(shared.log, events::STOPPED);
 }
--- a/components/node/src/usage.rs
+++ b/components/node/src/usage.rs
@@ -7,16 +7,16 @@
 
 use crate::shared::Shared;
 
-const EVERY: Duration = Duration::from_secs(2);
+const INTERVAL: Duration = Duration::from_secs(2);
 /// Clock ticks a second in `/proc`, fixed on Linux.
-const TICKS: u64 = 100;
-const PAGE: u64 = 4096;
+const TICKS_PER_SECOND: u64 = 100;
+const PAGE_SIZE: u64 = 4096;
 
 /// Measures until the process ends.
 pub(crate) async fn run(shared: Arc<Shared>) {
-    let mut counted = [0; Use::ALL.len()];
+    let mut previous_counts = [0; Use::ALL.len()];
     loop {
-        tokio::time::sleep(EVERY).await;
+        tokio::time::sleep(INTERVAL).await;
         if let Some(milliseconds) = cpu_milliseconds() {
             shared.metrics.cpu_milliseconds.set(milliseconds as i64);
         }
@@ -24,11 +24,11 @@
             shared.metrics.resident_bytes.set(bytes as i64);
         }
         let counts = shared.budget.counts();
-        for (at, usage) in Use::ALL.into_iter().enumerate() {
+        for (index, usage) in Use::ALL.into_iter().enumerate() {
             let label = metrics::Usage { usage: usage.name() };
-            shared.metrics.platform_calls.get_or_create(&label).inc_by(counts[at] - counted[at]);
+            shared.metrics.platform_calls.get_or_create(&label).inc_by(counts[index] - previous_counts[index]);
         }
-        counted = counts;
+        previous_counts = counts;
     }
 }
 
@@ -39,11 +39,11 @@
     let mut fields = fields.split_whitespace().skip(11);
     let user: u64 = fields.next()?.parse().ok()?;
     let system: u64 = fields.next()?.parse().ok()?;
-    Some((user + system) * 1000 / TICKS)
+    Some((user + system) * 1000 / TICKS_PER_SECOND)
 }
 
 fn resident_bytes() -> Option<u64> {
     let statm = std::fs::read_to_string("/proc/self/statm").ok()?;
     let pages: u64 = statm.split_whitespace().nth(1)?.parse().ok()?;
-    Some(pages * PAGE)
+    Some(pages * PAGE_SIZE)
 }
