--- a/components/work/examples/routes.rs
+++ b/components/work/examples/routes.rs
@@ -1,4 +1,4 @@
-//! What finding a request's queue and workspace costs, by the number of queues: by index, and by looking through all.
+//! Measures the cost of finding a request's queue and workspace for several numbers of queues, by index and by linear scan.
 //!
 //! `cargo run --release -p work --example routes`
 
@@ -10,7 +10,7 @@
 use work::{Config, Queue, Workspace};
 
 const WORKSPACES: usize = 120;
-const LOOKS: u32 = 200_000;
+const LOOKUPS: u32 = 200_000;
 
 fn config(queues: usize) -> Config {
     let queue = |number: usize| Queue {
@@ -35,16 +35,16 @@
     config.with_workspaces((0..WORKSPACES).map(workspace).collect())
 }
 
-/// As it was done before there was an index.
+/// Finds the queue by a linear scan, the method before the index was added.
 fn scan<'a>(config: &'a Config, host: &str, path: &str) -> Option<&'a Queue> {
     let fits = |queue: &&Queue| queue.host.eq_ignore_ascii_case(host) && path.starts_with(&queue.prefix);
     config.queues.iter().filter(fits).max_by_key(|queue| queue.prefix.len())
 }
 
-fn nanoseconds(mut look: impl FnMut(usize)) -> u128 {
+fn nanoseconds(mut lookup: impl FnMut(usize)) -> u128 {
     let began = Instant::now();
-    (0..LOOKS as usize).for_each(&mut look);
-    began.elapsed().as_nanos() / u128::from(LOOKS)
+    (0..LOOKUPS as usize).for_each(&mut lookup);
+    began.elapsed().as_nanos() / u128::from(LOOKUPS)
 }
 
 fn main() {
@@ -56,18 +56,18 @@
             .iter()
             .map(|queue| (queue.host.clone(), format!("{}5c0e7a21d94b36f8", queue.prefix)))
             .collect();
-        let request = |look: usize| &requests[look % requests.len()];
-        let index = nanoseconds(|look| {
-            let (host, path) = request(look);
+        let request = |lookup: usize| &requests[lookup % requests.len()];
+        let index = nanoseconds(|lookup| {
+            let (host, path) = request(lookup);
             black_box(config.route(host, path));
         });
-        let scan = nanoseconds(|look| {
-            let (host, path) = request(look);
+        let scan = nanoseconds(|lookup| {
+            let (host, path) = request(lookup);
             black_box(scan(&config, host, path));
         });
         let keys: Vec<String> = (0..WORKSPACES).map(|number| format!("key{number}")).collect();
-        let key = nanoseconds(|look| {
-            let presented = Credential::Key(Digest::of(&keys[look % keys.len()]));
+        let key = nanoseconds(|lookup| {
+            let presented = Credential::Key(Digest::of(&keys[lookup % keys.len()]));
             let _ = black_box(config.admit(&config.queues[0], presented));
         });
         let bytes = postcard::to_stdvec(&config).map_or(0, |bytes| bytes.len());
--- a/components/work/src/id.rs
+++ b/components/work/src/id.rs
@@ -1,45 +1,45 @@
-//! Names of jobs and tasks.
+//! Identifiers of jobs, tasks and workers.
 
 use std::fmt;
 use std::str::FromStr;
 
 use serde::{Deserialize, Serialize};
 
-/// A job's id, chosen by its caller: 16 hexadecimal digits on the wire.
+/// Job id chosen by the caller; written as 16 hexadecimal digits on the wire.
 pub type JobId = u64;
-/// A queue's name in the configuration.
+/// Name of a queue in the operator's configuration.
 pub type QueueName = String;
-/// A workspace's name in the configuration.
+/// Name of a workspace in the operator's configuration.
 pub type WorkspaceName = String;
-/// One life of a worker; see [`crate::WorkerIncarnation`].
+/// Identifies one incarnation of a worker; see [`crate::WorkerIncarnation`].
 pub type WorkerId = String;
-/// Number of a reign: each leader has a higher one than all before it. It fences orders to workers.
+/// Leadership term. Each leader's term is higher than those of all leaders before it; workers use it as a fencing token for orders.
 pub type Term = u64;
-/// Number of a start of one task; rises with each start. The members of a gang share it.
+/// Number of a run of a task, which increases with each start. All tasks of a gang share it.
 pub type Attempt = u64;
 
-/// Digits of a job's id.
-const DIGITS: usize = 16;
+/// Number of hexadecimal digits in the text form of a job id.
+const JOB_ID_DIGITS: usize = 16;
 
-/// Reads a job's id: exactly 16 lower-case hexadecimal digits.
+/// Parses a job id from exactly 16 lower-case hexadecimal digits.
 pub fn parse_job_id(text: &str) -> Option<JobId> {
-    let plain = text.len() == DIGITS && text.bytes().all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b));
-    plain.then(|| u64::from_str_radix(text, 16).ok()).flatten()
+    let well_formed =
+        text.len() == JOB_ID_DIGITS && text.bytes().all(|b| b.is_ascii_digit() || (b'a'..=b'f').contains(&b));
+    well_formed.then(|| u64::from_str_radix(text, 16).ok()).flatten()
 }
 
-/// Writes a job's id as its caller wrote it.
+/// Formats a job id the way [`parse_job_id`] reads it.
 pub fn format_job_id(id: JobId) -> String {
     format!("{id:016x}")
 }
 
-/// One run through a step: all tasks of step `step` in round `round` of a job.
+/// Unit of scheduling: all tasks of one step in one round of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Unit {
-    /// The job.
     pub job: JobId,
-    /// Round of a repeated job; 0 for others.
+    /// Round of a repeated job; 0 for a job that isn't repeated.
     pub round: u32,
-    /// Number of the step, from 0.
+    /// Index of the step, from 0.
     pub step: u16,
 }
 
@@ -49,12 +49,11 @@
     }
 }
 
-/// One task of a unit; its name is `JOB.ROUND.STEP.INDEX`.
+/// One task of a unit. Its text form is `JOB.ROUND.STEP.INDEX`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Task {
-    /// The unit.
     pub unit: Unit,
-    /// Number in the unit, from 0.
+    /// Index within the unit, from 0.
     pub index: u32,
 }
 
@@ -64,24 +63,24 @@
     }
 }
 
-/// A text that names no task.
+/// The text isn't a task id.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("`{0}` is not the name of a task")]
+#[error("`{0}` is not a task id of the form JOB.ROUND.STEP.INDEX")]
 pub struct ParseTaskError(String);
 
 impl FromStr for Task {
     type Err = ParseTaskError;
 
     fn from_str(text: &str) -> Result<Task, ParseTaskError> {
-        let fault = || ParseTaskError(text.to_owned());
+        let error = || ParseTaskError(text.to_owned());
         let mut parts = text.split('.');
-        let mut next = || parts.next().ok_or_else(fault);
-        let job = parse_job_id(next()?).ok_or_else(fault)?;
-        let round = next()?.parse().map_err(|_| fault())?;
-        let step = next()?.parse().map_err(|_| fault())?;
-        let index = next()?.parse().map_err(|_| fault())?;
+        let mut next = || parts.next().ok_or_else(error);
+        let job = parse_job_id(next()?).ok_or_else(error)?;
+        let round = next()?.parse().map_err(|_| error())?;
+        let step = next()?.parse().map_err(|_| error())?;
+        let index = next()?.parse().map_err(|_| error())?;
         if parts.next().is_some() {
-            return Err(fault());
+            return Err(error());
         }
         Ok(Task { unit: Unit { job, round, step }, index })
     }
--- a/components/work/src/incarnation.rs
+++ b/components/work/src/incarnation.rs
@@ -1,23 +1,25 @@
-//! Lives of workers: a worker that starts again may keep its name. What is known of it holds for one life.
+//! Incarnations of workers. A restarted worker may keep its name, while everything known about it holds for one incarnation only.
 
 use std::fmt;
 
 use crate::WorkerId;
 
-/// Between a worker's name and its birth in an id.
+/// Separates the worker's name from its start time in a worker id.
 const SEPARATOR: char = '@';
 
-/// One life of a worker. Its text is the worker's id everywhere: `NAME`, or `NAME@BORN` where the platform tells when it was born.
+/// One incarnation of a worker. Its text form is the worker id used everywhere: `NAME`, or `NAME@BORN` on a platform that reports
+/// when a worker started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WorkerIncarnation<'a> {
-    /// The worker's name on the platform.
+    /// Name of the worker on the platform.
     pub name: &'a str,
-    /// When it started, in milliseconds since 1970 by its own clock. Where that isn't known, the name alone is taken for a life.
+    /// Start time by the worker's own clock, in milliseconds since 1970. If it is unknown, the name alone identifies the
+    /// incarnation.
     pub born: Option<u64>,
 }
 
 impl<'a> WorkerIncarnation<'a> {
-    /// The life that an id names.
+    /// Parses a worker id. An id without a valid start time is taken as a name.
     pub fn from_id(id: &'a str) -> WorkerIncarnation<'a> {
         let parts = id.split_once(SEPARATOR);
         match parts.and_then(|(name, born)| Some((name, born.parse().ok()?))) {
@@ -26,12 +28,12 @@
         }
     }
 
-    /// Whether a name can be told from a birth in an id.
+    /// Returns whether `text` can be the name in a worker id: it isn't empty and doesn't contain the separator.
     pub fn is_valid_name(text: &str) -> bool {
         !text.is_empty() && !text.contains(SEPARATOR)
     }
 
-    /// Its id.
+    /// Formats the worker id.
     pub fn id(&self) -> WorkerId {
         self.to_string()
     }
--- a/components/work/src/job.rs
+++ b/components/work/src/job.rs
@@ -1,4 +1,4 @@
-//! What a caller asks for: a job of steps, each of some equal tasks.
+//! Jobs as callers submit them: a list of steps, each with a number of identical tasks.
 
 use std::time::Duration;
 
@@ -6,122 +6,104 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Longest specification, in bytes: the users' platform allows no longer one.
+/// Maximum length of a specification, in bytes; the users' platform doesn't allow longer ones.
 const MAX_SPECIFICATION: usize = 4000;
-/// Most steps of a job. Jobs seen so far have up to four; the bound keeps a job's memory small.
+/// Maximum number of steps of a job, which bounds the memory of a job. Jobs seen so far have up to 4 steps.
 const MAX_STEPS: usize = 64;
-/// Most tasks of a step; the largest seen so far has 60.
-const MAX_TASKS: u32 = 2000;
+/// Maximum number of tasks of a step. The largest step seen so far has 60 tasks.
+const MAX_TASKS_PER_STEP: u32 = 2000;
 
-/// A job as its caller described it.
+/// A job as described by its caller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Job {
-    /// Text for the workers; not read here.
+    /// Opaque text passed to the workers.
     pub specification: String,
-    /// Its steps, in the caller's order.
+    /// Steps in the caller's order.
     pub steps: Vec<Step>,
-    /// When the steps run, for a job that is repeated at set times.
+    /// Schedule of a job that is repeated at fixed times.
     pub schedule: Option<Schedule>,
 }
 
-/// Times at which a job's steps run.
+/// Times at which a repeated job runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Schedule {
-    /// How often.
+    /// Number of rounds. Each round runs all steps of the job once.
     pub rounds: u32,
-    /// Due time of the first round, since 1970.
+    /// Start time of the first round, since 1970.
     pub first: Duration,
-    /// Time from one round to the next.
+    /// Interval between the start times of two rounds.
     pub every: Duration,
 }
 
-/// Equal tasks of a job.
+/// A group of identical tasks of a job.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// Number of tasks.
+    /// Number of tasks in the step.
     pub count: u32,
-    /// What each task takes of its worker.
+    /// Resources that each task needs on its worker.
     pub need: Resources,
-    /// The caller's rough guess of a task's run time.
+    /// The caller's rough estimate of a task's run time.
     pub estimate: Duration,
-    /// Earlier steps that must be done before.
+    /// Indexes of earlier steps that must be done before this one starts.
     pub after: Vec<u16>,
-    /// Whether its tasks save their progress as they run.
+    /// Whether tasks save checkpoints while they run.
     pub checkpoints: bool,
-    /// Whether its tasks run only all together.
+    /// Whether the tasks may only run all together (gang scheduling).
     pub gang: bool,
-    /// Whether its tasks run slower when they are spread over racks.
+    /// Whether tasks run slower if they are spread over several racks.
     pub same_rack: bool,
-    /// Label that a worker must have; empty for any worker.
+    /// Label that a worker must have; empty if any worker is suitable.
     pub label: String,
-    /// Rack of its data; empty for none.
+    /// Rack that holds the step's data; empty if there is none.
     pub rack: String,
-    /// Most of its tasks on one worker; 0 for any number.
+    /// Maximum number of the step's tasks on one worker; 0 means no limit.
     pub max_per_worker: u32,
-    /// Whether copies of a task may run at the same time.
+    /// Whether copies of a task may run concurrently (speculative execution).
     pub speculative: bool,
-    /// Whether its tasks run until the job is cancelled.
+    /// Whether tasks run until the job is cancelled.
     pub long_running: bool,
-    /// What its tasks run; tasks of one image behave alike.
+    /// Image that the tasks run. Tasks with the same image behave alike.
     pub image: String,
-    /// Bound for the tail of a lasting task's answers; zero for none.
+    /// Bound on the tail latency of a long-running task's responses; zero means none.
     pub max_tail_latency: Duration,
-    /// Whether its processor need isn't counted against a worker's room.
+    /// Whether the tasks' CPU need is left out when the free capacity of a worker is computed.
     pub best_effort_cpu: bool,
-    /// Tasks of a lasting step that may be away at once by our own doing.
+    /// Maximum number of tasks of a long-running step that the scheduler itself may make unavailable at the same time.
     pub max_unavailable: u32,
 }
 
-/// Most tasks of one round of a job: what the whole cell is designed to run.
-const MAX_TASKS_A_ROUND: u32 = 10_000;
-/// Most rounds of a repeated job: one an hour for a year.
+/// Maximum number of tasks in one round of a job: the number that the whole cell is designed to run.
+const MAX_TASKS_PER_ROUND: u32 = 10_000;
+/// Maximum number of rounds of a repeated job, enough for one per hour for a year.
 const MAX_ROUNDS: u32 = 10_000;
-/// Longest time that a job may name, far above any run seen so far.
-const MAX_TIME: Duration = Duration::from_secs(7 * 86_400);
+/// Maximum of the durations in a job, far above the longest run seen so far.
+const MAX_DURATION: Duration = Duration::from_secs(7 * 86_400);
 
-/// Why a job can't be taken.
+/// Why a job is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum JobError {
-    /// The specification is too long.
-    #[error("the specification has {0} bytes, at most {MAX_SPECIFICATION} are taken")]
+    #[error("the specification has {0} bytes, more than the maximum of {MAX_SPECIFICATION}")]
     Specification(usize),
-    /// There are no steps, or too many.
-    #[error("the job has {0} steps, between 1 and {MAX_STEPS} are taken")]
+    #[error("the job has {0} steps, but must have between 1 and {MAX_STEPS}")]
     Steps(usize),
-    /// A step has no tasks, or too many.
-    #[error("step {step} has {count} tasks, between 1 and {MAX_TASKS} are taken")]
-    Tasks {
-        /// The step.
-        step: usize,
-        /// Its tasks.
-        count: u32,
-    },
-    /// The steps have too many tasks together.
-    #[error("the steps have {0} tasks together, at most {MAX_TASKS_A_ROUND} are taken")]
+    #[error("step {step} has {count} tasks, but must have between 1 and {MAX_TASKS_PER_STEP}")]
+    Tasks { step: usize, count: u32 },
+    #[error("the job has {0} tasks per round, more than the maximum of {MAX_TASKS_PER_ROUND}")]
     Total(u32),
-    /// There are no rounds, or too many.
-    #[error("the job has {0} rounds, between 1 and {MAX_ROUNDS} are taken")]
+    #[error("the job has {0} rounds, but must have between 1 and {MAX_ROUNDS}")]
     Rounds(u32),
-    /// A time is too long.
-    #[error("step {step} names a time of {} s, at most {} s are taken", time.as_secs(), MAX_TIME.as_secs())]
-    Time {
-        /// The step.
-        step: usize,
-        /// The time.
-        time: Duration,
-    },
-    /// A step waits for itself or for a later one.
+    #[error("step {step} has a duration of {} s, more than the maximum of {} s", time.as_secs(), MAX_DURATION.as_secs())]
+    Time { step: usize, time: Duration },
     #[error("step {step} depends on step {on}, which doesn't come before it")]
-    Order {
-        /// The step.
-        step: usize,
-        /// What it names.
-        on: u16,
-    },
+    Order { step: usize, on: u16 },
 }
 
 impl Job {
-    /// Checks the job whole.
+    /// Validates the job.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the specification, a count or a duration is out of bounds, or if a step depends on itself or a later step.
     pub fn check(&self) -> Result<(), JobError> {
         if self.specification.len() > MAX_SPECIFICATION {
             return Err(JobError::Specification(self.specification.len()));
@@ -131,7 +113,7 @@
         }
         self.steps.iter().enumerate().try_for_each(|(number, step)| step.check(number))?;
         let total = self.steps.iter().map(|step| step.count).sum();
-        if total > MAX_TASKS_A_ROUND {
+        if total > MAX_TASKS_PER_ROUND {
             return Err(JobError::Total(total));
         }
         match self.rounds() {
@@ -140,12 +122,12 @@
         }
     }
 
-    /// Number of rounds; 1 for a job that isn't repeated.
+    /// Returns the number of rounds; 1 for a job that isn't repeated.
     pub fn rounds(&self) -> u32 {
         self.schedule.map_or(1, |schedule| schedule.rounds)
     }
 
-    /// When a round is due, since 1970; zero for a job that isn't repeated.
+    /// Returns the start time of a round, since 1970; zero for a job that isn't repeated.
     pub fn due(&self, round: u32) -> Duration {
         self.schedule
             .map_or(Duration::ZERO, |schedule| schedule.first.saturating_add(schedule.every.saturating_mul(round)))
@@ -154,10 +136,10 @@
 
 impl Step {
     fn check(&self, number: usize) -> Result<(), JobError> {
-        if self.count == 0 || self.count > MAX_TASKS {
+        if self.count == 0 || self.count > MAX_TASKS_PER_STEP {
             return Err(JobError::Tasks { step: number, count: self.count });
         }
-        if let Some(time) = [self.estimate, self.max_tail_latency].into_iter().find(|time| *time > MAX_TIME) {
+        if let Some(time) = [self.estimate, self.max_tail_latency].into_iter().find(|time| *time > MAX_DURATION) {
             return Err(JobError::Time { step: number, time });
         }
         match self.after.iter().find(|on| usize::from(**on) >= number) {
--- a/components/work/src/key.rs
+++ b/components/work/src/key.rs
@@ -1,15 +1,14 @@
-//! Keys by which callers of a workspace are known. Only their digests are kept, compared and passed on.
+//! API keys that identify a workspace's callers. Only digests of the keys are stored, compared and forwarded.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Digest of a key.
+/// BLAKE3 digest of an API key. Its `Debug` output hides the value.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Digest([u8; 32]);
 
 impl Digest {
-    /// The digest of a key.
     pub fn of(key: &str) -> Digest {
         Digest(*blake3::hash(key.as_bytes()).as_bytes())
     }
@@ -21,27 +20,25 @@
     }
 }
 
-/// What a call brings to show whose it is.
+/// Credential that a call carries to identify its workspace.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Credential {
-    /// Nothing.
+    /// The call carries no credential.
     Nothing,
-    /// Something that can't be read as one key.
+    /// The call carries something that can't be parsed as exactly one key.
     Malformed,
-    /// A key.
     Key(Digest),
 }
 
-/// Why a key doesn't open a queue.
+/// Why a call is denied access to a queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum Denial {
-    /// There is none.
-    #[error("the call brings no key")]
+    #[error("the call has no API key")]
     Missing,
-    /// It can't be read.
-    #[error("the call's key can't be read")]
+    /// The credential can't be parsed as exactly one key.
+    #[error("the call's API key is malformed")]
     Malformed,
-    /// No workspace has it.
-    #[error("no workspace has the call's key")]
+    /// The key belongs to no workspace, or to several.
+    #[error("the call's API key belongs to no workspace")]
     Unknown,
 }
--- a/components/work/src/lib.rs
+++ b/components/work/src/lib.rs
@@ -1,7 +1,5 @@
-//! The vocabulary of callers' jobs: queues, workspaces, jobs with their steps and tasks, and the records that keep them.
-
-// Off until its wording is done.
-#![allow(clippy::missing_errors_doc, clippy::missing_panics_doc)]
+//! Types shared by everything that handles jobs: queues, workspaces, jobs with their steps and tasks, and the log records that
+//! persist them.
 
 mod id;
 mod incarnation;
--- a/components/work/src/queue.rs
+++ b/components/work/src/queue.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration: queues, and the workspaces whose callers use them.
+//! The operator's configuration: queues, and the workspaces whose callers submit jobs to them.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -9,56 +9,54 @@
 use crate::key::{Credential, Denial, Digest};
 use crate::{QueueName, WorkspaceName};
 
-/// A queue for jobs, as the operator configures it.
+/// A job queue, as the operator configures it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Queue {
-    /// Its name.
     pub name: QueueName,
-    /// Host name by which callers address it.
+    /// Host name under which callers reach the queue.
     pub host: String,
-    /// Path prefix by which callers address it.
+    /// Path prefix under which callers reach the queue.
     pub prefix: String,
-    /// Whether callers need no key.
+    /// Whether callers may use the queue without an API key.
     pub public: bool,
-    /// Pool of workers that runs its tasks.
+    /// Worker pool that runs the queue's tasks.
     pub pool: String,
-    /// 0 goes first.
+    /// Queues with lower numbers are scheduled first; 0 is the highest priority.
     pub priority: u32,
-    /// Failed runs of a task after which its job fails.
+    /// Number of failed runs of one task after which its job fails.
     pub max_attempts: u32,
-    /// Factor of the objective on a job's longest chain of work.
+    /// Multiplier of a job's critical path length in its latency objective.
     pub stretch: f64,
-    /// Part of the objective that doesn't depend on the work.
+    /// Constant part of a job's latency objective, independent of its work.
     pub objective: Duration,
-    /// How long the adviser takes, for a queue whose steps run only on workers that it names.
+    /// Timing of the advice service; set for a queue whose steps may only run on workers that the service permits.
     pub advice: Option<Advice>,
 }
 
-/// Times of the service that knows which workers may run a step.
+/// Timing of the advice service, which decides which workers may run a step.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Advice {
-    /// Time for each question.
+    /// Fixed response time of a query.
     pub base: Duration,
-    /// Time more for each worker that a question names.
+    /// Additional response time for each worker named in the query.
     pub per_worker: Duration,
-    /// How long a ticket holds.
+    /// How long a ticket from the service is valid.
     pub validity: Duration,
 }
 
-/// A team that shares the cell with others.
+/// A team that shares the cell with other teams.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Workspace {
-    /// Its name.
     pub name: WorkspaceName,
-    /// Digests of its keys.
+    /// Digests of the workspace's API keys.
     pub keys: Vec<Digest>,
-    /// Jobs a second that are its share.
+    /// Share of the cell, in jobs per second.
     pub weight: f64,
-    /// The most that may run for it at once; 0 in a dimension stands for any amount.
+    /// Resources that the workspace's running tasks may use in total; 0 in a dimension means no limit.
     pub limit: Resources,
 }
 
-/// What hosts pass on of a configuration.
+/// Serialized form of [`Config`], as hosts exchange it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct Content {
     version: u64,
@@ -67,25 +65,23 @@
     workspaces: Vec<Workspace>,
 }
 
-/// The operator's configuration, whole.
+/// The operator's configuration with lookup indexes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "Content", into = "Content")]
 pub struct Config {
-    /// Rises with each change, in uneven steps.
+    /// Increases with each change, not necessarily by one.
     pub version: u64,
-    /// All queues.
     pub queues: Vec<Queue>,
-    /// Longest body of a request, in bytes; 0 before there is a configuration.
+    /// Maximum size of a request body, in bytes; 0 before a configuration is known.
     pub max_body: usize,
-    /// All workspaces.
     pub workspaces: Vec<Workspace>,
-    /// Where queues stand, by host in lower case and by prefix: looking through all of them would cost each request.
+    /// Positions of queues by lower-case host and by prefix, which saves each request a scan over all queues.
     queues_by_prefix: HashMap<String, HashMap<String, usize>>,
-    /// Lengths of the prefixes of each host, the longest first.
+    /// Lengths of the prefixes of each host, longest first.
     prefix_lengths: HashMap<String, Vec<usize>>,
-    /// Where queues stand, by name.
+    /// Positions of queues by name.
     queues_by_name: HashMap<QueueName, usize>,
-    /// Where the workspaces of keys stand.
+    /// Positions of workspaces by key. Keys that several workspaces have are left out.
     workspaces_by_key: HashMap<Digest, usize>,
 }
 
@@ -103,7 +99,7 @@
 }
 
 impl Config {
-    /// A configuration without workspaces.
+    /// Creates a configuration without workspaces.
     pub fn new(version: u64, queues: Vec<Queue>, max_body: usize) -> Config {
         let mut config = Config { version, max_body, ..Config::default() };
         for (index, queue) in queues.iter().enumerate() {
@@ -119,7 +115,7 @@
         Config { queues, ..config }
     }
 
-    /// The same with these workspaces. A key that several of them have opens nothing.
+    /// Replaces the workspaces. A key that several workspaces have is rejected for all of them.
     pub fn with_workspaces(self, workspaces: Vec<Workspace>) -> Config {
         let mut workspaces_by_key = HashMap::new();
         let mut duplicates = HashSet::new();
@@ -134,14 +130,14 @@
         Config { workspaces, workspaces_by_key, ..self }
     }
 
-    /// Workspaces of which a key opens nothing, since another one has it, too.
+    /// Names of workspaces with a key that is rejected because another workspace has it, too.
     pub fn workspaces_with_duplicate_keys(&self) -> impl Iterator<Item = &WorkspaceName> {
-        let duplicates =
+        let has_duplicate =
             |workspace: &&Workspace| workspace.keys.iter().any(|key| !self.workspaces_by_key.contains_key(key));
-        self.workspaces.iter().filter(duplicates).map(|workspace| &workspace.name)
+        self.workspaces.iter().filter(has_duplicate).map(|workspace| &workspace.name)
     }
 
-    /// The queue for a request: its host, and the longest prefix that its path begins with.
+    /// Finds the queue of a request: the one of its host with the longest matching path prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Queue> {
         let host = host.to_ascii_lowercase();
         let prefixes = self.queues_by_prefix.get(&host)?;
@@ -150,20 +146,22 @@
         self.queues.get(*found)
     }
 
-    /// The queue of a name.
     pub fn queue(&self, name: &str) -> Option<&Queue> {
         self.queues.get(*self.queues_by_name.get(name)?)
     }
 
-    /// The workspace of a name.
     pub fn workspace(&self, name: &str) -> Option<&Workspace> {
         self.workspaces.iter().find(|workspace| workspace.name == name)
     }
 
-    /// The workspace for which a call of a queue is made. A public queue needs no key, but one that is brought tells whose the call
-    /// is: jobs of a queue that has become public stay with their workspaces.
-    pub fn admit(&self, queue: &Queue, key: Credential) -> Result<Option<&Workspace>, Denial> {
-        let found = match key {
+    /// Authenticates a call to a queue and returns its workspace. A public queue needs no key, but a valid one still assigns the
+    /// call to its workspace: jobs of a queue that has become public stay with their workspaces.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the queue isn't public and the credential is missing, malformed or belongs to no single workspace.
+    pub fn admit(&self, queue: &Queue, credential: Credential) -> Result<Option<&Workspace>, Denial> {
+        let found = match credential {
             Credential::Nothing => Err(Denial::Missing),
             Credential::Malformed => Err(Denial::Malformed),
             Credential::Key(digest) => self.workspace_by_key(digest).ok_or(Denial::Unknown),
@@ -175,7 +173,6 @@
         }
     }
 
-    /// The workspace that has a key.
     fn workspace_by_key(&self, key: Digest) -> Option<&Workspace> {
         self.workspaces.get(*self.workspaces_by_key.get(&key)?)
     }
--- a/components/work/src/record.rs
+++ b/components/work/src/record.rs
@@ -1,4 +1,4 @@
-//! What is kept of jobs in the store: an append-only log of records.
+//! Records of the append-only log that persists jobs in the store.
 
 use std::time::Duration;
 
@@ -7,43 +7,42 @@
 
 use crate::{Attempt, Job, JobId, QueueName, Task, WorkerId, WorkspaceName};
 
-/// State of a job as its caller sees it.
+/// State of a job as shown to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum State {
-    /// None of its tasks has begun.
+    /// No task has started yet.
     Queued,
-    /// At least one task has begun.
+    /// At least one task has started.
     Running,
-    /// It has ended.
     Ended(Outcome),
 }
 
 /// How a job ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// All its tasks are done.
+    /// All tasks are done.
     Completed,
-    /// A task used up its attempts.
+    /// A task exhausted its attempts.
     Failed,
-    /// Its caller cancelled it.
+    /// The caller cancelled the job.
     Cancelled,
 }
 
-/// What the end of a worker says against a task that was there.
+/// How strongly the loss of a worker suggests that a task running there caused it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Evidence {
-    /// It had just begun, and no task of another job had.
+    /// The task had just started, and no task of another job had.
     Sole,
-    /// It had just begun, as had others.
+    /// The task had just started, as had tasks of other jobs.
     Shared,
-    /// It had been at work for a while, or little is known.
+    /// The task had been running for a while, or too little is known.
     Weak,
-    /// It had served for long: what was held against it before doesn't count any more.
+    /// The task had been running for so long that earlier evidence against it no longer counts.
     Cleared,
 }
 
 impl Evidence {
-    /// Its name in logs.
+    /// Returns the name used in logs.
     pub fn name(self) -> &'static str {
         match self {
             Evidence::Sole => "sole",
@@ -54,11 +53,11 @@
     }
 }
 
-/// Weight of a small record, in bytes.
-const SMALL: usize = 40;
+/// Approximate size of a record without variable-length parts, in bytes.
+const FIXED_RECORD_SIZE: usize = 40;
 
 impl Record {
-    /// The job that needs this record to be known, or to be known as ended.
+    /// Returns the job if this record is needed to know that it exists or that it has ended.
     pub fn job(&self) -> Option<JobId> {
         match self {
             Record::Accepted { id, .. } | Record::Ended { id, .. } => Some(*id),
@@ -67,7 +66,7 @@
         }
     }
 
-    /// The worker that needs this record to be known.
+    /// Returns the worker if this record is needed to know that it exists.
     pub fn worker(&self) -> Option<&WorkerId> {
         match self {
             Record::Worker { id, .. } => Some(id),
@@ -76,7 +75,7 @@
         }
     }
 
-    /// The job of which it records a start.
+    /// Returns the job whose task this record starts.
     pub fn placed_job(&self) -> Option<JobId> {
         match self {
             Record::Placed { task, .. } => Some(task.unit.job),
@@ -85,107 +84,64 @@
         }
     }
 
-    /// Roughly its size in the log, in bytes.
+    /// Returns the approximate size of the record in the log, in bytes.
     pub fn approximate_size(&self) -> usize {
         match self {
-            Record::Accepted { job, .. } => job.specification.len() + (1 + job.steps.len()) * SMALL,
+            Record::Accepted { job, .. } => job.specification.len() + (1 + job.steps.len()) * FIXED_RECORD_SIZE,
             Record::Rewritten(record) => record.approximate_size(),
-            _ => SMALL,
+            _ => FIXED_RECORD_SIZE,
         }
     }
 }
 
-/// One change of what must last. Replaying a record twice changes nothing more.
+/// One change of the persistent state. Replaying a record is idempotent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
     /// A job was accepted.
     Accepted {
-        /// Its id.
         id: JobId,
-        /// Its queue.
         queue: QueueName,
-        /// Whose it is; none where the queue was public.
+        /// Workspace that submitted the job; none for a call without a key to a public queue.
         workspace: Option<WorkspaceName>,
-        /// When, since 1970, by the accepting host's clock. For ages only.
+        /// Time of acceptance since 1970, by the accepting host's clock. Used only to compute ages.
         at: Duration,
-        /// The job.
         job: Job,
     },
-    /// A start was decided; it is sent once this is kept, so that the next leader knows where to look.
-    Placed {
-        /// The task.
-        task: Task,
-        /// The run.
-        attempt: Attempt,
-        /// The worker.
-        worker: WorkerId,
-    },
+    /// A task was placed on a worker. The start order is sent only after this record is committed, so that the next leader knows
+    /// which worker to ask.
+    Placed { task: Task, attempt: Attempt, worker: WorkerId },
     /// A task is done.
-    Done {
-        /// The task.
-        task: Task,
-    },
-    /// A run of a task has failed.
-    Failed {
-        /// The task.
-        task: Task,
-        /// The run.
-        attempt: Attempt,
-    },
-    /// A worker may get orders from now on.
+    Done { task: Task },
+    /// A run of a task failed.
+    Failed { task: Task, attempt: Attempt },
+    /// A worker may receive orders from now on.
     Worker {
-        /// The worker.
         id: WorkerId,
-        /// Where it takes orders.
+        /// Address to which orders are sent.
         address: String,
     },
-    /// Nothing runs on a worker any more, and nothing ever will.
-    Gone {
-        /// The worker.
-        id: WorkerId,
-    },
-    /// An earlier record, written anew since its part of the log is removed.
+    /// Nothing runs on this worker any more, and nothing ever will.
+    Gone { id: WorkerId },
+    /// Copy of an earlier record whose part of the log is being removed.
     Rewritten(Box<Record>),
     /// A job has ended.
     Ended {
-        /// The job.
         id: JobId,
-        /// How.
         outcome: Outcome,
-        /// Whose it is, since only they may ask; the record of its acceptance may be gone.
+        /// Workspace that submitted the job. Only that workspace may query the job, and the record of its acceptance may already
+        /// have been removed.
         workspace: Option<WorkspaceName>,
     },
-    /// As [`Record::RunLost`] without the run: what an earlier format wrote, still read.
-    Crashed {
-        /// The task.
-        task: Task,
-        /// The worker.
-        worker: WorkerId,
-        /// What that says against the task.
-        evidence: Evidence,
-    },
-    /// A run went with its worker.
+    /// Like [`Record::RunLost`] without the attempt. No longer written, but still read from logs in an earlier format.
+    Crashed { task: Task, worker: WorkerId, evidence: Evidence },
+    /// A run was lost together with its worker.
     RunLost {
-        /// The task.
         task: Task,
-        /// The run; it tells the ends of one worker apart.
+        /// Attempt of the lost run, which distinguishes several losses of the same worker.
         attempt: Attempt,
-        /// The worker.
         worker: WorkerId,
-        /// What its end says against the task.
         evidence: Evidence,
     },
-    /// A run that its task doesn't wait for may go on on a silent worker. It counts against its workspace's limit.
-    Leftover {
-        /// The task.
-        task: Task,
-        /// The run.
-        attempt: Attempt,
-        /// The worker.
-        worker: WorkerId,
-        /// Whose it is.
-        workspace: WorkspaceName,
-        /// What it takes.
-        need: Resources,
-    },
+    /// An abandoned run that may still be running on an unresponsive worker. It counts against its workspace's limit.
+    Leftover { task: Task, attempt: Attempt, worker: WorkerId, workspace: WorkspaceName, need: Resources },
 }
--- a/components/work/tests/config.rs
+++ b/components/work/tests/config.rs
@@ -1,4 +1,4 @@
-//! The configuration: which queue a request means, and which workspace a key is of.
+//! The configuration: how requests are routed to queues, and keys resolved to workspaces.
 
 use std::time::Duration;
 
@@ -26,12 +26,12 @@
     Workspace { name: name.to_owned(), keys, weight: 1.0, limit: Resources::ZERO }
 }
 
-fn name<'a>(config: &'a Config, host: &str, path: &str) -> Option<&'a str> {
+fn routed_to<'a>(config: &'a Config, host: &str, path: &str) -> Option<&'a str> {
     config.route(host, path).map(|queue| queue.name.as_str())
 }
 
 #[test]
-fn a_request_means_the_queue_of_its_host_with_the_longest_prefix() {
+fn a_request_is_routed_to_the_queue_of_its_host_with_the_longest_prefix() {
     let queues = vec![
         queue("all", "one.example", "/", true),
         queue("plans", "One.example", "/plans/", true),
@@ -39,40 +39,44 @@
         queue("other", "two.example", "/plans/", true),
     ];
     let config = Config::new(1, queues, 0);
-    assert_eq!(name(&config, "one.example", "/plans/7"), Some("plans"));
-    assert_eq!(name(&config, "ONE.example", "/plans/night/7"), Some("night"));
-    assert_eq!(name(&config, "one.example", "/plan"), Some("all"));
-    assert_eq!(name(&config, "two.example", "/plans/7"), Some("other"));
-    assert_eq!(name(&config, "two.example", "/plan"), None);
-    assert_eq!(name(&config, "three.example", "/plans/7"), None);
-    assert_eq!(name(&config, "one.example", "/pl\u{e4}ne"), Some("all"), "no prefix ends within a sign");
+    assert_eq!(routed_to(&config, "one.example", "/plans/7"), Some("plans"));
+    assert_eq!(routed_to(&config, "ONE.example", "/plans/night/7"), Some("night"));
+    assert_eq!(routed_to(&config, "one.example", "/plan"), Some("all"));
+    assert_eq!(routed_to(&config, "two.example", "/plans/7"), Some("other"));
+    assert_eq!(routed_to(&config, "two.example", "/plan"), None);
+    assert_eq!(routed_to(&config, "three.example", "/plans/7"), None);
+    assert_eq!(
+        routed_to(&config, "one.example", "/pl\u{e4}ne"),
+        Some("all"),
+        "a prefix doesn't match within a character"
+    );
     assert_eq!(config.queue("night").map(|queue| queue.prefix.as_str()), Some("/plans/night/"));
 }
 
 #[test]
-fn a_key_is_of_one_workspace_or_of_none() {
+fn a_key_identifies_one_workspace_or_none() {
     let queues = vec![queue("open", "h", "/open/", true), queue("plans", "h", "/plans/", false)];
     let workspaces = vec![workspace("rail", &["a", "b", "b"]), workspace("port", &["c", "a"])];
     let config = Config::new(1, queues, 0).with_workspaces(workspaces);
     let admit = |queue: &str, key| {
-        let queue = config.queue(queue).expect("it is there");
+        let queue = config.queue(queue).expect("the queue is configured");
         config.admit(queue, key).map(|workspace| workspace.map(|workspace| workspace.name.as_str()))
     };
     let key = |text| Credential::Key(Digest::of(text));
     assert_eq!(admit("plans", key("b")), Ok(Some("rail")));
     assert_eq!(admit("plans", key("c")), Ok(Some("port")));
-    assert_eq!(admit("plans", key("a")), Err(Denial::Unknown), "two workspaces have it");
+    assert_eq!(admit("plans", key("a")), Err(Denial::Unknown), "two workspaces have the key");
     assert_eq!(config.workspaces_with_duplicate_keys().collect::<Vec<_>>(), ["rail", "port"]);
     assert_eq!(admit("plans", Credential::Nothing), Err(Denial::Missing));
     assert_eq!(admit("plans", Credential::Malformed), Err(Denial::Malformed));
-    for brought in [Credential::Nothing, Credential::Malformed, key("a")] {
-        assert_eq!(admit("open", brought), Ok(None), "a public queue needs no key");
+    for credential in [Credential::Nothing, Credential::Malformed, key("a")] {
+        assert_eq!(admit("open", credential), Ok(None), "a public queue needs no key");
     }
-    assert_eq!(admit("open", key("c")), Ok(Some("port")), "one that is brought tells whose the call is");
+    assert_eq!(admit("open", key("c")), Ok(Some("port")), "a valid key assigns the call to its workspace");
 }
 
 #[test]
-fn a_digest_doesnt_show_its_key() {
+fn debug_output_of_a_digest_hides_the_key() {
     let shown = format!("{:?}", workspace("rail", &["a secret"]));
     assert!(shown.contains("Digest(..)"), "{shown}");
 }
