--- a/components/node/src/claims.rs
+++ b/components/node/src/claims.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use claim::{Authority, Claim, Step, View};
-use jobs::Book;
+use jobs::JobTracker;
 use member::{Presence, State};
 use model::workload::partition;
 use model::{Partition, Revision};
@@ -45,7 +45,7 @@
             winner: member::winner(&key, hosts.iter().map(String::as_str)),
             owner_live: claim.as_ref().is_some_and(|claim| owner_live(shared, claim)),
         };
-        match claim::step(view) {
+        match claim::next_step(view) {
             Step::Leave => drop_lost(shared, number),
             Step::Release if !settled && shared.membership.presence() == Presence::Serving => {}
             step => steps.push((number, step)),
@@ -164,7 +164,7 @@
     }
     let now = Instant::now();
     shared.holds.raise(number, claim.epoch);
-    let mut book = Book::new(claim.epoch, shared.data_centre().clone());
+    let mut book = JobTracker::new(claim.epoch, shared.data_centre().clone());
     let count = shared.settings.tasks.partitions;
     for versioned in shared.configuration.workloads() {
         let name = &versioned.record.workload.name;
