--- a/components/ledger/src/lib.rs
+++ b/components/ledger/src/lib.rs
@@ -1,13 +1,16 @@
-//! The only place that commits a worker's capacity: the ledger of the entry host that holds the worker.
+//! Accounts for the capacity of one worker, on the entry host that holds the worker. Capacity is committed nowhere
+//! else.
 //!
-//! Pure: orders, reports and time go in; answers, commands for the worker and facts for the peers come out.
-//! It counts the declared size of everything started, stopping or in doubt, and it is rebuilt from the
-//! worker's own report before the first decision under a new epoch.
+//! This package does no I/O and never reads the clock. Callers pass in orders, reports and the current time, and get
+//! answers, commands for the worker and facts for the peers back.
+//!
+//! The ledger counts the declared resources of every attempt that is starting, running, stopping or in doubt. Under a
+//! new epoch it is rebuilt from the worker's own report before the first decision.
 
-mod book;
-mod reserve;
-mod trust;
+mod health;
+mod ledger;
+mod reservations;
 
-pub use book::{Commit, DRAIN, Ended, Ledger, Limits};
-pub use reserve::Reservation;
-pub use trust::Trust;
+pub use health::WorkerHealth;
+pub use ledger::{CommitResult, DRAIN_DELAY, EndedAttempt, LeaseLimits, Ledger};
+pub use reservations::Reservation;
--- a/components/sched/src/order.rs
+++ b/components/sched/src/order.rs
@@ -36,7 +36,7 @@
 
 impl Engine {
     /// Takes in what became of a start.
-    pub fn ordered(&mut self, clock: Clock, id: &str, task: Task, attempt: Attempt, outcome: Outcome) {
+    pub fn start_answered(&mut self, clock: Clock, id: &str, task: Task, attempt: Attempt, outcome: Outcome) {
         match outcome {
             Outcome::Started => self.confirmed(clock, id, task, attempt),
             Outcome::Unknown => {
@@ -79,7 +79,7 @@
         {
             run.phase = Phase::Running(mark);
             run.begun.get_or_insert(clock.now);
-            let decided = run.moved;
+            let decided = run.progressed_at;
             self.start_latency.observe(clock.now.saturating_sub(decided));
         }
     }
@@ -103,7 +103,7 @@
     }
 
     /// The worker took a stop: the run ends soon, or never begins.
-    pub fn stopped(&mut self, id: &str, task: Task, attempt: Attempt) {
+    pub fn stop_accepted(&mut self, id: &str, task: Task, attempt: Attempt) {
         let mark = self.next_mark();
         let Some(worker) = self.workers.get_mut(id) else { return };
         if let Some(run) = worker.runs.get_mut(&(task, attempt)) {
@@ -114,7 +114,7 @@
     /// A run is certainly not there any more.
     pub(crate) fn release(&mut self, clock: Clock, id: &str, task: Task, attempt: Attempt) {
         let Some(worker) = self.workers.get_mut(id) else { return };
-        worker.release(task, attempt);
+        worker.remove_run(task, attempt);
         self.free_task(clock, task, id, attempt);
     }
 }
