--- a/components/entry/src/reign.rs
+++ b/components/entry/src/reign.rs
@@ -110,7 +110,7 @@
             parts.push(Stored::new(id, clock.now, &part.records));
             part.records.into_iter().for_each(|record| engine.replay(clock, record));
         }
-        engine.replayed(clock);
+        engine.finish_replay(clock);
         // An earlier life of this process is surely over.
         let own = seat.last.as_ref().is_some_and(|last| last.address == host.settings.address);
         let ended = before == Before::Ended || own;
--- a/components/entry/src/reign/agent.rs
+++ b/components/entry/src/reign/agent.rs
@@ -111,7 +111,7 @@
     fn idle_pause(&self) -> Option<Duration> {
         let engine = self.reign.engine.lock();
         let pause = engine.idle_pause();
-        let owed = engine.taken(&self.target.id) > self.acknowledged;
+        let owed = engine.last_processed_end(&self.target.id) > self.acknowledged;
         (pause > RENEWAL_INTERVAL && !self.silent && !owed && engine.is_worker_idle(&self.target.id)).then_some(pause)
     }
 
@@ -282,7 +282,7 @@
     let ended = report.ended.clone();
     let (restarted, taken) = {
         let mut engine = reign.engine.lock();
-        let taken = engine.taken(&target.id);
+        let taken = engine.last_processed_end(&target.id);
         let restarted = engine.report(reign.host.clock(), &target.id, report);
         (restarted, if restarted { 0 } else { taken })
     };
--- a/components/entry/src/reign/commit.rs
+++ b/components/entry/src/reign/commit.rs
@@ -155,7 +155,7 @@
         }
         let part = batch.part.and_then(|id| Some((id, reign.flights.land(id.number)?)));
         parts::keep(reign, &part, &batch.removed);
-        reign.engine.lock().written(reign.host.clock(), batch.upto);
+        reign.engine.lock().mark_durable(reign.host.clock(), batch.upto);
         reign.durable.send_replace(batch.upto);
         reign.plan.notify_one();
         if let Some((id, part)) = &part {
--- a/components/sched/examples/cell/mod.rs
+++ b/components/sched/examples/cell/mod.rs
@@ -74,5 +74,5 @@
 /// Writes every record that is owed.
 pub fn write(engine: &mut Engine, clock: Clock) {
     let (_, upto) = engine.take_records(usize::MAX);
-    engine.written(clock, upto);
+    engine.mark_durable(clock, upto);
 }
--- a/components/sched/src/advice.rs
+++ b/components/sched/src/advice.rs
@@ -1,6 +1,6 @@
-//! Which workers may run a unit: what the adviser said. What to ask it next is in [`crate::questions`].
+//! The adviser's answers: which workers may run a unit. What to ask next is in [`crate::questions`].
 //!
-//! Who may run a unit never changes; only tickets run out.
+//! The set of workers that may run a unit never changes; only tickets expire.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,39 +12,39 @@
 /// Permission to start the tasks of a unit on one worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ticket {
-    /// What a start brings.
+    /// The text that is sent along with a start.
     pub text: String,
-    /// Until when it holds, on this process's steady clock.
+    /// When it expires, in monotonic time of this process.
     pub until: Duration,
 }
 
 impl Ticket {
-    /// Whether it holds beyond this time.
+    /// Whether it is still valid at this time.
     fn holds(&self, until: Duration) -> bool {
         self.until > until
     }
 }
 
-/// What is known of a unit's workers.
+/// What the adviser said about the workers for a unit.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct UnitAdvice {
-    /// Workers that were named in an answered question.
+    /// Workers that were named in answered questions.
     pub asked: BTreeSet<WorkerId>,
-    /// Those that may run it, each with its last ticket.
+    /// Workers that may run the unit, each with its last ticket.
     pub healthy: BTreeMap<WorkerId, Ticket>,
-    /// Workers that are named in questions under way.
+    /// Workers that are named in unanswered questions.
     pub asking: BTreeSet<WorkerId>,
-    /// A question isn't looked for before this time, unless an answer comes.
+    /// No further question is considered before this time, unless an answer arrives.
     pub ask_at: Duration,
 }
 
-/// Shares of the named workers that could run a unit, by queue.
+/// For each queue, the share of the named workers that may run its units.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Shares(BTreeMap<QueueName, (f64, f64)>);
 
-/// Share expected before the first answers: below what most queues show, so that questions name enough.
+/// Prior estimate of the share, lower than that of most queues, so that the first questions name enough workers.
 const PRIOR_SHARE: f64 = 0.4;
-/// Weight of the expectation against answers, in named workers.
+/// Weight of the prior estimate, as a number of named workers.
 const PRIOR_WEIGHT: f64 = 20.0;
 
 impl Shares {
@@ -61,7 +61,7 @@
 }
 
 impl UnitAdvice {
-    /// Whether a start that reaches this worker by `until` may be sent.
+    /// Whether a start that arrives at this worker by `until` may be sent.
     pub(crate) fn allows(&self, worker: &str, until: Duration) -> bool {
         self.healthy.get(worker).is_some_and(|ticket| ticket.holds(until))
     }
@@ -71,7 +71,7 @@
         self.asked.is_empty() && self.asking.is_empty()
     }
 
-    /// A question about these workers has ended.
+    /// Records that a question about these workers has ended.
     fn answered(&mut self, asked: &[WorkerId]) {
         asked.iter().for_each(|worker| {
             self.asking.remove(worker);
@@ -79,14 +79,14 @@
         self.ask_at = Duration::ZERO;
     }
 
-    /// Workers to which a start may be sent that reaches them by `until`.
+    /// Workers whose tickets are still valid at `until`.
     pub(crate) fn tickets(&self, until: Duration) -> impl Iterator<Item = &WorkerId> {
         self.healthy.iter().filter(move |(_, ticket)| ticket.holds(until)).map(|(worker, _)| worker)
     }
 }
 
 impl Engine {
-    /// Takes in the adviser's answer: who of `asked` may run the unit.
+    /// Processes the adviser's answer: the workers among `asked` that may run the unit.
     pub fn advice_received(&mut self, unit: Unit, asked: &[WorkerId], healthy: Vec<(WorkerId, Ticket)>) {
         self.count_shares(unit, asked, &healthy);
         let Some(state) = self.unit_mut(unit) else { return };
@@ -96,14 +96,14 @@
         state.advice.healthy.extend(healthy);
     }
 
-    /// A question about `asked` got no answer.
+    /// Processes that a question about `asked` got no answer.
     pub fn advice_failed(&mut self, unit: Unit, asked: &[WorkerId]) {
         if let Some(state) = self.unit_mut(unit) {
             state.advice.answered(asked);
         }
     }
 
-    /// Counts how many of the workers that weren't asked about before may run the unit.
+    /// Updates the share of the queue with the workers that weren't asked about before.
     fn count_shares(&mut self, unit: Unit, asked: &[WorkerId], healthy: &[(WorkerId, Ticket)]) {
         let Some(entry) = self.jobs.get(&unit.job) else { return };
         let Some(state) = entry.units.get(&(unit.round, unit.step)) else { return };
--- a/components/sched/src/assemble.rs
+++ b/components/sched/src/assemble.rs
@@ -1,7 +1,9 @@
-//! Puts room together for a whole gang, of what is free and of what less urgent tasks give back that go on from a checkpoint.
+//! Assembles room for a whole gang from free room and from less urgent runs that can be preempted because they resume
+//! from a checkpoint.
 //!
-//! A gang needs all its places at once, on workers that the adviser allows. On a full cell where few workers may run it, that much room
-//! comes together by itself only now and then, while patient tasks that save their progress have seconds to spare.
+//! A gang needs room for all its tasks at once, on workers that the adviser allows. On a fully loaded cell where few
+//! workers may run it, that much room rarely becomes free by itself, while less urgent tasks with checkpoints have
+//! seconds to spare.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,52 +17,55 @@
 use crate::room::{Place, Room};
 use crate::worker::{Health, Phase, Worker};
 
-/// On larger fleets the processor of the leader's host is what binds, and stops and the starts that they lead to cost more than they gain.
-const MAX_WORKERS: usize = 600;
-/// Room for a gang is put together anew after this time: about as often as room changes, like questions to the adviser.
+/// On larger fleets the CPU of the leader's host is the bottleneck, and preemptions and the starts that they cause
+/// cost more than they gain.
+const SPARE_CPU_MAX_WORKERS: usize = 600;
+/// Interval between two attempts to assemble room for a gang: about as often as room changes, like questions to the
+/// adviser.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// ... and after this time once there is room for all of it.
+/// The same once there is room for all of it.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(150);
-/// How long the claims of one look are kept: two looks, which a busy leader may take longer for.
+/// How long reservations for a gang last: two attempts, with some reserve for a busy leader.
 const CLAIM_TTL: Duration = Duration::from_millis(400);
-/// Stops take up to this long: a gang for which room is made must be able to wait for it, and its tickets must hold beyond it.
+/// The longest time that a stop takes. A gang must be able to wait that long, and its tickets must be valid beyond
+/// it.
 pub(crate) const MAX_STOP_TIME: Duration = Duration::from_millis(900);
-/// A job whose tasks are stopped must have this much time to spare: the stop takes up to 0.9 s, a new place and the way back to the
-/// checkpoint another second.
+/// The time that a preempted job must have to spare. The stop takes up to 0.9 s, and being placed again and returning
+/// to the checkpoint takes another second.
 const MIN_VICTIM_SLACK: Duration = Duration::from_secs(2);
 
-/// What one worker can give.
+/// What one worker can contribute.
 struct Offer<'a> {
     place: &'a Place,
-    /// Room that is free, or will be without a further stop.
+    /// Room that is free, or becomes free without a further stop.
     free: Resources,
-    /// Tasks that fit there.
+    /// Number of tasks that fit into it.
     tasks: usize,
-    /// Whether a ticket holds.
+    /// Whether its ticket is valid.
     ticket: bool,
-    /// Runs that may be stopped, those that take least last.
+    /// Runs that may be preempted, the most expensive first.
     stoppable: Vec<((Task, Attempt), Resources)>,
-    /// Those of them that are to be stopped.
+    /// Runs that are to be preempted.
     stops: Vec<(Task, Attempt)>,
 }
 
-/// Room that comes free or can be made on workers for gangs of one priority.
+/// Room on workers that is becoming free, or that preemption can free, for gangs of one priority.
 #[derive(Debug)]
 pub(crate) struct Reclaimable {
     at: Duration,
     rooms: HashMap<WorkerId, Resources>,
 }
 
-/// Runs whose stop gives room for further tasks on one worker.
+/// Runs on one worker whose preemption makes room for further tasks.
 struct Gain {
     runs: usize,
     tasks: usize,
-    /// What the runs take, for each task.
+    /// Their cost per task gained.
     cost: u64,
 }
 
 impl Offer<'_> {
-    /// What the next stops there would give.
+    /// What preempting the next runs there would gain.
     fn next(&self, state: &UnitState, step: &Step) -> Option<Gain> {
         let mut free = self.free;
         let mut cost = 0;
@@ -85,17 +90,19 @@
 }
 
 impl Engine {
-    /// Whether the leader's host has the processor for more than starting what fits.
+    /// Whether the leader's host has CPU time for more than starting what fits.
     pub(crate) fn has_spare_processor(&self) -> bool {
-        self.workers.len() <= MAX_WORKERS
+        self.workers.len() <= SPARE_CPU_MAX_WORKERS
     }
 
-    /// Whether room is put together for a unit: a gang that is in time after a stop. What would be stopped for late ones makes others late.
+    /// Whether room is assembled for a unit: a gang that still meets its objective after a stop. Preempting runs for
+    /// late gangs would only make other jobs late.
     pub(crate) fn assembles(&self, clock: Clock, unit: Unit, step: &Step) -> bool {
         step.gang && self.has_spare_processor() && self.can_wait(clock, unit, MAX_STOP_TIME)
     }
 
-    /// Claims room for all of a gang that waits, and stops what must go for it. Nothing where that isn't enough.
+    /// Reserves room for all tasks of a waiting gang and preempts runs for it. Does nothing if that doesn't give
+    /// enough room.
     pub(crate) fn assemble(&mut self, clock: Clock, unit: Unit, step: &Step, queue: &Queue, room: &Room) {
         if !step.gang || step.long_running {
             return;
@@ -128,7 +135,7 @@
         }
     }
 
-    /// What workers can give that are known to be allowed.
+    /// Offers of the workers that the adviser allows.
     fn offers<'a>(
         &self,
         clock: Clock,
@@ -151,7 +158,7 @@
         places.filter_map(offer).collect()
     }
 
-    /// Finds what may be stopped, where what is free isn't enough and that could be.
+    /// Adds the runs that may be preempted to the offers, if free room alone isn't enough and preemption could be.
     fn with_stoppable<'a>(
         &self,
         clock: Clock,
@@ -181,12 +188,14 @@
         offers
     }
 
-    /// Runs on a worker that may be stopped for a more urgent queue, and whose jobs will still be on time.
+    /// Runs on a worker that may be preempted for a more urgent queue and whose jobs will still meet their
+    /// objectives.
     fn reclaimable_runs(&self, clock: Clock, worker: &Worker, priority: u32) -> Vec<((Task, Attempt), Resources)> {
         stoppable(worker, priority).filter(|((task, _), _)| self.can_wait(clock, task.unit, MIN_VICTIM_SLACK)).collect()
     }
 
-    /// Brings up to date how much room each worker could give a gang of this priority, now and then.
+    /// Updates how much room each worker could free for a gang of this priority, if the last update is older than
+    /// [`RETRY_INTERVAL`].
     pub(crate) fn refresh_reclaimable(&mut self, clock: Clock, priority: u32) {
         let known = self.reclaimable.get(&priority);
         if known.is_some_and(|known| clock.now < known.at + RETRY_INTERVAL) {
@@ -201,21 +210,21 @@
         self.reclaimable.insert(priority, Reclaimable { at: clock.now, rooms });
     }
 
-    /// Room that a worker could give a gang of this priority besides what is free, as last looked for.
+    /// Room that a worker could free for a gang of this priority, as of the last update.
     pub(crate) fn reclaimable_room(&self, worker: &str, priority: u32) -> Resources {
         let known = self.reclaimable.get(&priority).and_then(|known| known.rooms.get(worker));
         known.copied().unwrap_or(Resources::ZERO)
     }
 }
 
-/// Room of runs that are being stopped.
+/// Room of the runs that are being stopped.
 fn ending(worker: &Worker) -> Resources {
     let stopping = worker.runs.values().filter(|run| matches!(run.phase, Phase::Stopping | Phase::Stopped(_)));
     stopping.fold(Resources::ZERO, |sum, run| sum.saturating_add(&run.need))
 }
 
-/// The offers that give room for all waiting tasks: what is free first, there where tickets hold, then what costs least. None where
-/// they aren't enough.
+/// Chooses offers with room for all waiting tasks: free room first, preferably with valid tickets, then the cheapest
+/// preemptions. Returns none if they don't suffice.
 fn choose<'a>(mut offers: Vec<Offer<'a>>, state: &UnitState, step: &Step) -> Vec<Offer<'a>> {
     let mut found: usize = offers.iter().map(|offer| offer.tasks).sum();
     let mut gains: Vec<Option<Gain>> =
@@ -228,7 +237,7 @@
         offers[index].stop(&gain);
         gains[index] = offers[index].next(state, step);
     }
-    // What is stopped is needed; of the rest, as much as is missing.
+    // All offers with preemptions are needed; of the others, only as many as it takes.
     offers.sort_by_key(|offer| (offer.stops.is_empty(), !offer.ticket, weight(&offer.free)));
     let mut missing = state.pending;
     offers.retain(|offer| {
--- a/components/sched/src/call_order.rs
+++ b/components/sched/src/call_order.rs
@@ -1,6 +1,6 @@
-//! The order in which a new leader calls its workers.
+//! The order in which a new leader contacts its workers.
 //!
-//! There may be thousands, and each call takes processor time: what callers wait for goes first.
+//! There may be thousands of them, and each call takes CPU time, so those on which waiting tasks depend go first.
 
 use work::{Task, WorkerId};
 
@@ -8,19 +8,19 @@
 use crate::entry::Phase;
 use crate::worker::Worker;
 
-/// Why a worker is called when it is; the least goes first.
+/// Priority of the call to a worker; the lowest value goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum CallPriority {
-    /// Tasks of a queue of this priority, which an earlier leader placed there, wait for what became of them.
+    /// Pending tasks of a queue of this priority depend on its answer, since an earlier leader placed them there.
     Awaited(u32),
-    /// Waiting tasks may go there.
+    /// It may get new work.
     Open,
-    /// It takes nothing new.
+    /// It gets no new work.
     Closed,
 }
 
 impl Engine {
-    /// Workers that aren't held yet, id and address, in the order in which they are to be called.
+    /// Ids and addresses of the workers for which `held` is false, in the order in which they are to be called.
     pub fn workers_to_contact(&self, held: impl Fn(&WorkerId) -> bool) -> Vec<(WorkerId, String)> {
         let mut found: Vec<(CallPriority, &WorkerId, &Worker)> = self
             .workers
@@ -28,7 +28,7 @@
             .filter(|(id, worker)| !worker.info.address.is_empty() && !held(id))
             .map(|(id, worker)| (self.call_priority(worker), id, worker))
             .collect();
-        // Stable: within a turn the order is that of the names.
+        // The sort is stable: workers of the same call priority stay ordered by name.
         found.sort_by_key(|(call_priority, _, _)| *call_priority);
         found.into_iter().map(|(_, id, worker)| (id.clone(), worker.info.address.clone())).collect()
     }
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The priority of a task's queue, if the task waits.
+    /// The priority of a task's queue, if the task is pending.
     fn waiting_priority(&self, task: Task) -> Option<u32> {
         let state = self.unit(task.unit)?.tasks.get(task.index as usize)?;
         let queue = self.queues.get(&self.jobs.get(&task.unit.job)?.queue);
--- a/components/sched/src/cancel.rs
+++ b/components/sched/src/cancel.rs
@@ -1,11 +1,11 @@
-//! Cancels: nothing of the job starts any more, and what runs is stopped.
+//! Cancelling jobs: nothing of the job is started any more, and its runs are stopped.
 
 use work::{JobId, Outcome, Unit};
 
 use crate::engine::{Clock, Engine};
 
 impl Engine {
-    /// Cancels a job. Returns the position whose durability makes it count; `None` for an unknown job.
+    /// Cancels a job; `None` if it is unknown. The cancellation is in effect once the returned position is durable.
     pub fn cancel(&mut self, clock: Clock, id: JobId) -> Option<u64> {
         let entry = self.jobs.get(&id)?;
         if let Some(ended) = entry.outcome {
@@ -16,14 +16,12 @@
         Some(position)
     }
 
-    /// Stops all runs of a unit.
     pub(crate) fn stop_unit(&mut self, name: Unit) {
         let Some(unit) = self.unit(name) else { return };
         let placements: Vec<_> = unit.placements(name).collect();
         self.stop_runs(placements);
     }
 
-    /// Stops all runs of a job.
     pub(crate) fn stop_all(&mut self, id: JobId) {
         let Some(entry) = self.jobs.get(&id) else { return };
         let mut placements = Vec::new();
--- a/components/sched/src/crashes.rs
+++ b/components/sched/src/crashes.rs
@@ -1,9 +1,11 @@
-//! Tasks that take their workers down: what the end of a worker says against the tasks that were there, and when one is given up.
+//! Tasks that crash their workers: how the end of a worker is attributed to the tasks that were there, and when a
+//! task is given up.
 //!
-//! A worker that goes down reports nothing, so its end is itself the failed attempt of whatever took it down. It is held against the
-//! tasks that were there, and kept in the log. What had just begun is suspected: a task that takes its workers down does so at once and is
-//! never listed as running, while most runs on workers that go down for reasons of their own had been. A suspect is tried where nothing
-//! else has just begun, and nothing else begins there meanwhile, so that the next end tells it from those that merely stood beside it.
+//! A crashed worker reports nothing, so its end itself is the failed attempt of the task that crashed it. The end is
+//! attributed to all tasks that were there and is recorded in the log. Runs that had just started are suspects: a
+//! task that crashes workers does so at startup and is never listed as running, while most runs on workers that end
+//! for other reasons had been listed. A suspect is tried in isolation: on a worker without other new runs, on which
+//! nothing else is started meanwhile. The next crash then distinguishes it from tasks that merely ran beside it.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -14,29 +16,32 @@
 use crate::entry::{Phase, TaskState, UnitState};
 use crate::lost_runs::{EndedWorker, LostRun, WorkerEndReason};
 
-/// A task is given up once it alone can have taken so many workers down. The platform would let two do: but a start that a worker had just
-/// answered when it went down for a reason of its own looks the same, and twice is no rare chance.
+/// A task is given up once this many workers have ended with it as the only suspect. The platform would allow two,
+/// but a start that was just confirmed when the worker ended for another reason looks the same, and that happens
+/// twice often enough.
 const MAX_SOLE_ENDS: usize = 3;
-/// ... or once so many workers have ended under it: the most that the platform lets a task cause.
+/// A task is also given up once this many workers have ended under it, which is the maximum that the platform allows
+/// one task to cause.
 const MAX_WORKER_ENDS: usize = 5;
-/// A lasting task that has served for so long isn't what took its worker down, and what was held against it before is forgotten: else
-/// ends of workers for their own reasons would add up over its days.
+/// A long-running task that has run for this long didn't crash its worker, and earlier ends are no longer attributed
+/// to it. Otherwise ends of workers for other reasons would add up over the days that it runs.
 const CLEARED_AFTER: Duration = Duration::from_secs(30);
-/// A suspect waits this long for a place where nothing has just begun: on a busy pool of few workers there may be none.
+/// How long a suspect waits for a worker without new runs. On a busy pool of few workers there may be none.
 const ISOLATION_WAIT: Duration = Duration::from_secs(2);
 
-/// The end of a worker, held against a task.
+/// The end of a worker, attributed to a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Crash {
     pub worker: WorkerId,
-    /// The run that went with it; 0 where that isn't known.
+    /// The run that was lost with it; 0 if that isn't known.
     pub attempt: Attempt,
     pub evidence: Evidence,
 }
 
 impl TaskState {
-    /// Holds the end of a worker against the task. Whether that is news: each run ends once, with one of the lives that may have carried its
-    /// order out. A worker may end again and again under its id, with another run each time.
+    /// Attributes the end of a worker to the task, and returns whether that is new. Each run is lost once, with one
+    /// of the incarnations that may have carried out its order. A worker may end repeatedly under its id, each time
+    /// with another run.
     pub(crate) fn record_crash(&mut self, crash: Crash) -> bool {
         if crash.evidence == Evidence::Cleared {
             return !std::mem::take(&mut self.crashes).is_empty();
@@ -50,12 +55,13 @@
         true
     }
 
-    /// A worker lists a run of the task, which isn't what takes workers down as it begins, then. The ends still count.
+    /// Records that a worker lists a run of the task, which therefore doesn't crash workers at startup. The ends
+    /// still count.
     pub(crate) fn mark_survived(&mut self) {
         self.crashes.iter_mut().for_each(|crash| crash.evidence = Evidence::Weak);
     }
 
-    /// Whether the task is tried apart from others.
+    /// Whether the task is tried in isolation.
     pub(crate) fn is_suspect(&self) -> bool {
         self.crashes.iter().any(|crash| matches!(crash.evidence, Evidence::Sole | Evidence::Shared))
     }
@@ -68,36 +74,37 @@
 }
 
 impl UnitState {
-    /// Whether a task that waits may have taken as many workers down as one may, once what became of the silent ones is known. Till then it
-    /// isn't started: leases run out before a worker is known to have ended, and it would start anew with each.
+    /// Whether a pending task may have reached [`MAX_WORKER_ENDS`], depending on what became of the silent workers.
+    /// It isn't started until that is known: leases expire before a worker is known to have ended, and the task would
+    /// be started again after each expiry.
     pub(crate) fn awaits_worker_ends(&self) -> bool {
         let doubtful = |task: &TaskState| task.silent > 0 && task.crashes.len() + task.silent >= MAX_WORKER_ENDS;
         self.tasks.iter().any(|task| task.phase == Phase::Pending && doubtful(task))
     }
 
-    /// Whether a task that waits is to be tried apart from others.
+    /// Whether a pending task is to be tried in isolation.
     fn has_suspects(&self) -> bool {
         self.tasks.iter().any(|task| task.phase == Phase::Pending && task.is_suspect())
     }
 
-    /// Begins to look for places for suspects, apart from others for a while.
+    /// Starts or ends the period in which suspects are only placed in isolation.
     pub(crate) fn update_isolation(&mut self, now: Duration) {
         self.isolated_until = self.has_suspects().then(|| self.isolated_until.unwrap_or(now + ISOLATION_WAIT));
     }
 
-    /// Whether suspects still wait for a place where nothing has just begun.
+    /// Whether suspects still wait for a worker without new runs.
     pub(crate) fn requires_isolation(&self, now: Duration) -> bool {
         self.isolated_until.is_some_and(|until| now < until)
     }
 }
 
-/// What the end of a worker says against a run that went with it; `None` where nothing.
+/// Evidence that the end of a worker gives against a run that was lost with it; `None` if it gives none.
 ///
-/// Only another life at its address, or a run that its lists lack, shows for certain that a worker went down: one that is cut off for long
-/// is taken for gone, too. One that had announced its end took along what it ran. Where a suspect was tried, that explains what happened to
-/// runs that had begun before.
+/// Only another incarnation at its address, or a run that its reports lack, proves that a worker went down: a worker
+/// behind a long network partition counts as ended, too. A draining worker ended together with its runs as announced.
+/// If a suspect was tried there, that explains the loss of the runs that had started before.
 fn evidence(ended: &EndedWorker, lost: &LostRun) -> Option<Evidence> {
-    if lost.lasting && lost.seen_running && lost.age >= CLEARED_AFTER {
+    if lost.long_running && lost.seen_running && lost.age >= CLEARED_AFTER {
         return Some(Evidence::Cleared);
     }
     if lost.seen_running {
@@ -118,12 +125,13 @@
 }
 
 impl Engine {
-    /// Takes note that a worker is silent under which these runs may have taken it down: not those that it had listed for a moment.
+    /// Records that a worker fell silent and that these runs may have crashed it. Runs that it had listed after their
+    /// startup window are excluded.
     pub(crate) fn add_silent(&mut self, left: &[LostRun]) {
         self.change_silent(left, |silent| silent + 1);
     }
 
-    /// Takes that back: the worker has answered, or is known to have ended.
+    /// Reverts [`Engine::add_silent`]: the worker has answered, or is known to have ended.
     pub(crate) fn remove_silent(&mut self, left: &[LostRun]) {
         self.change_silent(left, |silent| silent.saturating_sub(1));
     }
@@ -136,7 +144,8 @@
         }
     }
 
-    /// Holds the end of a worker against the tasks that were there, each once. The jobs that are to be given up for it.
+    /// Attributes the end of a worker to the tasks that were there, to each once. Returns the jobs that must be
+    /// failed because of it.
     pub(crate) fn attribute_end(&mut self, ended: &mut EndedWorker) -> BTreeSet<JobId> {
         let mut exhausted = BTreeSet::new();
         let mut held = BTreeSet::new();
@@ -145,7 +154,7 @@
             let Some(evidence) = evidence(ended, &ended.runs[index]) else { continue };
             let Some(state) = self.open_task(task) else { continue };
             let worker = ended.worker.clone();
-            // What was left of an earlier run of the task may have been there, too.
+            // The remains of an earlier run of the task may have been there, too.
             if !held.insert(task) || !state.record_crash(Crash { worker: worker.clone(), attempt, evidence }) {
                 continue;
             }
@@ -161,7 +170,7 @@
         exhausted
     }
 
-    /// A task that isn't done, of a job that hasn't ended.
+    /// The state of a task that isn't done and whose job hasn't ended.
     fn open_task(&mut self, task: Task) -> Option<&mut TaskState> {
         if !self.live.contains(&task.unit.job) {
             return None;
@@ -169,13 +178,13 @@
         self.task_mut(task).filter(|state| state.phase != Phase::Done)
     }
 
-    /// Whether a task is to be tried apart from others.
+    /// Whether a task is to be tried in isolation.
     pub(crate) fn is_suspect(&self, task: Task) -> bool {
         let state = self.unit(task.unit).and_then(|unit| unit.tasks.get(task.index as usize));
         state.is_some_and(TaskState::is_suspect)
     }
 
-    /// Gives jobs up: they have failed.
+    /// Fails jobs and stops their runs.
     pub(crate) fn fail_jobs(&mut self, clock: Clock, jobs: impl IntoIterator<Item = JobId>) {
         for id in jobs {
             self.end(clock, id, Outcome::Failed);
--- a/components/sched/src/engine.rs
+++ b/components/sched/src/engine.rs
@@ -197,7 +197,7 @@
         self.predecessor_active = AUTHORITY_TIMEOUT + self.limits.longer_before();
     }
 
-    /// Records that the previous leader has granted no leases since `now`.
+    /// Records that the previous leader grants no more leases, as of `now`.
     pub fn predecessor_ended(&mut self, now: Duration) {
         self.predecessor_active = self.predecessor_active.min(now.saturating_sub(self.term_start));
     }
@@ -246,7 +246,7 @@
     }
 
     /// The highest end number of a worker that was processed, acknowledged or not.
-    pub fn taken(&self, worker: &str) -> u64 {
+    pub fn last_processed_end(&self, worker: &str) -> u64 {
         self.workers.get(worker).map_or(0, |worker| worker.taken)
     }
 
@@ -305,7 +305,7 @@
         }
     }
 
-    /// Number of accepted, unscheduled jobs of a queue none of whose tasks has started.
+    /// Number of accepted jobs of a queue that have no schedule and none of whose tasks has started.
     pub fn waiting(&self, queue: &str) -> usize {
         let waits = |entry: &&Entry| entry.queue == queue && self.waits(entry) && entry.job.schedule.is_none();
         self.live.iter().filter_map(|id| self.jobs.get(id)).filter(waits).count()
@@ -410,7 +410,7 @@
         })
     }
 
-    /// Numbers of jobs that haven't ended, and of workers that have answered in this term and hold leases.
+    /// Numbers of unfinished jobs, and of workers that this leader is in contact with.
     pub fn sizes(&self) -> (usize, usize) {
         let held = self.workers.values().filter(|worker| worker.contact == Contact::Held).count();
         (self.live.len(), held)
--- a/components/sched/src/entry.rs
+++ b/components/sched/src/entry.rs
@@ -230,7 +230,7 @@
         self.units.values_mut().for_each(|unit| unit.advice = UnitAdvice::default());
     }
 
-    /// Whether every task of every round is done, which is never the case for lasting tasks.
+    /// Whether every task of every round is done, which is never the case for long-running tasks.
     pub(crate) fn is_complete(&self) -> bool {
         self.opened == self.job.rounds() && self.units.values().all(UnitState::is_complete)
     }
--- a/components/sched/src/explain.rs
+++ b/components/sched/src/explain.rs
@@ -1,4 +1,4 @@
-//! Why a job stands where it stands, for operators.
+//! Explains to operators why a job is in its current state.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -8,44 +8,44 @@
 use crate::engine::{Clock, Engine};
 use crate::entry::{Entry, Phase, TaskState, UnitState};
 
-/// How a job stands.
+/// State of a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct Explanation {
     /// Its queue.
     pub queue: String,
-    /// Its workspace, where its queue isn't public.
+    /// Its workspace, unless its queue is public.
     pub workspace: Option<String>,
     /// Its state as callers see it.
     pub state: String,
     /// Milliseconds since it was accepted.
     pub age_ms: u64,
-    /// Its steps that have come up, by round.
+    /// Its steps in the rounds that have been opened.
     pub steps: Vec<StepExplanation>,
 }
 
-/// How a step stands.
+/// State of a step.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct StepExplanation {
     /// Round of a repeated job, else 0.
     pub round: u32,
     /// Number of the step.
     pub step: u16,
-    /// Tasks that are done.
+    /// Number of tasks that are done.
     pub done: usize,
-    /// Tasks that are placed, as `INDEX on WORKER, attempt N`.
+    /// Placed tasks, as `INDEX on WORKER, attempt N`.
     pub placed: Vec<String>,
-    /// Tasks that wait.
+    /// Number of tasks that wait for a worker.
     pub waiting: usize,
-    /// Runs that failed.
+    /// Number of failed runs.
     pub failed: usize,
-    /// Workers that ended under tasks and are held against them, as `INDEX: WORKER (EVIDENCE), ...`.
+    /// Worker ends that are attributed to tasks, as `INDEX: WORKER (EVIDENCE), ...`.
     pub ended_workers: Vec<String>,
-    /// Why tasks wait; empty when none does.
+    /// Why tasks wait; empty if none does.
     pub why: String,
 }
 
 impl Engine {
-    /// How a job stands, and why.
+    /// The state of a job and the reasons for it.
     pub fn explain(&self, clock: Clock, id: JobId) -> Option<Explanation> {
         let entry = self.jobs.get(&id)?;
         let state = match self.state(id)? {
@@ -88,22 +88,22 @@
         }
     }
 
-    /// Why the waiting tasks of a step wait: the first thing that keeps them from a start.
+    /// Why the pending tasks of a step wait: the first obstacle to starting them.
     pub(crate) fn wait_reason(&self, clock: Clock, entry: &Entry, name: Unit, unit: &UnitState) -> String {
         if entry.outcome.is_some() {
             return "the job has ended".to_owned();
         }
         if entry.accepted.position > self.durable {
-            return "the store hasn't taken the job yet".to_owned();
+            return "the job isn't durable in the store yet".to_owned();
         }
         if !entry.unblocked(name.round, name.step) {
-            return "earlier steps aren't done".to_owned();
+            return "steps that it depends on aren't done".to_owned();
         }
         if let Some(worker) = self.unresolved(unit) {
             return format!("a task may still run on {worker}, which hasn't answered since the last takeover");
         }
         if unit.awaits_worker_ends() {
-            return "a task has been on too many workers that have ended or are silent: what became of these is awaited".to_owned();
+            return "too many workers on which a task ran have ended or are silent; it waits until the silent ones answer or have ended".to_owned();
         }
         let Some(queue) = self.queues.get(&entry.queue) else {
             return format!("the configuration (version {}) has no queue {}", self.config.version, entry.queue);
@@ -133,7 +133,7 @@
     }
 }
 
-/// The workers that are held against a task, if there are any.
+/// Worker ends that are attributed to a task, if there are any.
 fn ended_workers(index: usize, task: &TaskState) -> Option<String> {
     let named = |crash: &Crash| format!("{} ({})", crash.worker, crash.evidence.name());
     let workers: Vec<String> = task.crashes.iter().map(named).collect();
--- a/components/sched/src/handover.rs
+++ b/components/sched/src/handover.rs
@@ -1,8 +1,10 @@
-//! What passes from one life of a worker to the next one under its name.
+//! Transfers runs from one incarnation of a worker to the next one of the same name.
 //!
-//! An order names the worker and not its life, and no answer to it tells which life has carried it out: that of a run that wasn't listed, or
-//! that an earlier leader sent, may have been the next one. Its task waits until that life has answered; what this leader sent is stopped
-//! there first. Nothing else passes on: neither leases and clock, nor the numbers of ends, tickets, failures and pauses.
+//! An order names the worker, not its incarnation, and no answer tells which incarnation carried it out. A run that
+//! the worker hasn't listed, or that an earlier leader ordered, may therefore have been started by the next
+//! incarnation. Its task waits until that incarnation has answered, and a run that this leader ordered is stopped
+//! there first. Nothing else is transferred: neither leases and clock readings nor end numbers, tickets, failures and
+//! pauses.
 
 use work::{Attempt, Record, Task, WorkerId};
 
@@ -10,17 +12,17 @@
 use crate::entry;
 use crate::worker::{Contact, Phase, Run, Worker};
 
-/// A run that may have been ordered, and that its worker hasn't listed.
+/// A run that may have been ordered and that its worker hasn't listed.
 pub(crate) struct Unsettled {
     task: Task,
     attempt: Attempt,
     run: Run,
-    /// Whether its task waits for it.
+    /// Whether its task is held by this run.
     held: bool,
 }
 
 impl Engine {
-    /// Runs whose orders may still be on their way to a worker.
+    /// Runs whose start orders may still be on their way to a worker.
     pub(crate) fn unsettled_runs(&self, id: &str) -> Vec<Unsettled> {
         let Some(worker) = self.workers.get(id) else { return Vec::new() };
         let unlisted = worker.runs.iter().filter(|(_, run)| !run.listed);
@@ -33,7 +35,7 @@
         unlisted.filter(|((task, attempt), _)| !self.is_unsent(id, *task, *attempt)).map(unsettled_runs).collect()
     }
 
-    /// Whether a start was decided and not given out yet.
+    /// Whether a start was decided and hasn't been sent yet.
     pub(crate) fn is_unsent(&self, id: &str, task: Task, attempt: Attempt) -> bool {
         let same = |(_, to, start): &(u64, WorkerId, crate::engine::Start)| {
             to == id && start.task == task && start.attempt == attempt
@@ -41,13 +43,13 @@
         self.unsent_starts.iter().any(same)
     }
 
-    /// Whether a task's run is this one.
+    /// Whether a task is held by this run.
     fn holds(&self, task: Task, id: &str, attempt: Attempt) -> bool {
         let state = self.unit(task.unit).and_then(|unit| unit.tasks.get(task.index as usize));
         state.is_some_and(|state| state.phase == entry::Phase::Held(id.to_owned(), attempt))
     }
 
-    /// Hands over to the next life what it may carry out of the orders for a former one.
+    /// Transfers the unsettled runs of an earlier incarnation to the next one, which may carry out their orders.
     pub(crate) fn hand_over(&mut self, id: &str, next: &str, unsettled_runs: Vec<Unsettled>) {
         for Unsettled { task, attempt, run, held } in unsettled_runs {
             let Some(worker) = self.workers.get_mut(next) else { return };
@@ -63,13 +65,14 @@
         self.hand_over_inherited(id, next);
     }
 
-    /// Whether a worker's life follows another under its name. A lease that was meant for that one may have been given there, by the next
-    /// life's clock: as long as workers take any.
+    /// Whether a worker follows an earlier incarnation of the same name. A lease meant for that one may have been
+    /// granted to this one by its own clock, with the longest duration that workers accept.
     pub fn follows_earlier_incarnation(&self, id: &str) -> bool {
         self.workers.get(id).is_some_and(|worker| worker.follows_earlier_incarnation)
     }
 
-    /// Stops at a worker what was handed over to it, once it has answered: before that no order can be given.
+    /// Orders a worker to stop the runs that were transferred to it, once it has answered. No orders can be sent
+    /// before that.
     pub(crate) fn stop_handed_over(&mut self, id: &str) {
         let Some(worker) = self.workers.get(id).filter(|worker| worker.contact == Contact::Held) else { return };
         let stopping = worker.runs.iter().filter(|(_, run)| run.phase == Phase::Stopping);
@@ -77,8 +80,8 @@
         self.actions.extend(stops.collect::<Vec<_>>());
     }
 
-    /// Frees what was handed over to lives that have never answered, once a lease that one of them may have taken has surely run out. An order
-    /// was sent before the former life's end was known.
+    /// Frees the runs that were transferred to incarnations which never answered, once a lease that they may have
+    /// accepted has certainly expired. All orders were sent before the end of the earlier incarnation was known.
     pub(crate) fn free_handed_over(&mut self, clock: Clock) {
         let longest = self.limits.longest_lease();
         let over = |worker: &Worker| {
@@ -90,8 +93,8 @@
         ids.iter().for_each(|id| self.free_all_runs(clock, id));
     }
 
-    /// Hands over what an earlier leader ordered: its orders are refused once the next life has answered under this term. Nothing once all of
-    /// them have surely ended.
+    /// Transfers the runs that earlier leaders ordered, unless all of them have certainly ended. Their orders are
+    /// refused once the next incarnation has answered in this term.
     fn hand_over_inherited(&mut self, id: &str, next: &str) {
         let inherited = if self.settled { Vec::new() } else { self.inherited_runs() };
         for (task, entry::Inherited { attempt, .. }) in inherited.into_iter().filter(|(_, run)| run.worker == id) {
@@ -103,7 +106,7 @@
         self.quota.hand_over(id, next);
     }
 
-    /// A task's run is, or may be, on this worker.
+    /// Records that a run of a task is, or may be, on this worker.
     fn set_placed(&mut self, task: Task, id: &str, attempt: Attempt) {
         if let Some(unit) = self.unit_mut(task.unit) {
             unit.set_phase(task.index as usize, entry::Phase::Held(id.to_owned(), attempt));
@@ -111,8 +114,8 @@
         self.record(Record::Placed { task, attempt, worker: id.to_owned() });
     }
 
-    /// The platform tells when a worker was born that was known without: it is the same life as far as is known, and goes by its id from
-    /// now on.
+    /// Changes the id of a worker whose time of birth has become known from the platform's list. As far as is known
+    /// it is the same incarnation.
     pub(crate) fn rename(&mut self, clock: Clock, id: &str, born: &str) {
         let unsettled_runs = self.unsettled_runs(id);
         let Some(worker) = self.workers.get(id) else { return };
--- a/components/sched/src/headroom.rs
+++ b/components/sched/src/headroom.rs
@@ -1,7 +1,7 @@
-//! Room that patient units leave for more urgent ones.
+//! Headroom: room that less urgent units leave free for more urgent ones.
 //!
-//! Patient work comes in wide steps and would fill whatever is free; a check that comes then waits for the next end, and has half a
-//! second to spare where a patient step has ten.
+//! Less urgent work comes in wide steps and would fill all free room. An urgent task that arrives then waits until a
+//! run ends, while it has half a second to spare and the less urgent step has ten.
 
 use std::time::Duration;
 
@@ -11,14 +11,14 @@
 use crate::reports::taken_room;
 use crate::room::Room;
 
-/// Share of all cores that a unit with time to spare leaves free, where more urgent queues use the same workers: on a full cell both kinds
-/// come off better.
+/// Share of all cores that a unit with time to spare leaves free if more urgent queues use the same workers. On a
+/// fully loaded cell both kinds of work gain from it.
 const HEADROOM: f64 = 0.08;
-/// A unit that must start within this time leaves nothing free.
+/// A unit that must start within this time leaves no headroom.
 const MIN_SLACK: Duration = Duration::from_secs(2);
 
 impl Engine {
-    /// How many tasks of a unit may start now without taking what is left for more urgent queues.
+    /// Number of tasks of a unit that may start now without using the headroom of more urgent queues.
     pub(crate) fn headroom_limit(&self, clock: Clock, unit: Unit, step: &Step, queue: &Queue, room: &Room) -> usize {
         let most_urgent = self.most_urgent.get(&queue.pool).is_none_or(|priority| *priority >= queue.priority);
         if step.gang || most_urgent || !self.has_spare_processor() || !self.can_wait(clock, unit, MIN_SLACK) {
--- a/components/sched/src/latency.rs
+++ b/components/sched/src/latency.rs
@@ -1,23 +1,23 @@
-//! How long answers take, learnt from those that came, and how long it is worth waiting for the next one.
+//! Estimates response times from observed ones, and derives timeouts from them as in RFC 6298.
 
 use std::time::Duration;
 
-/// Weight of the newest answer in the smoothed time; that of RFC 6298.
+/// Weight of the newest sample in the smoothed response time, as in RFC 6298.
 const TIME_GAIN: f64 = 0.125;
-/// Weight of the newest answer in the smoothed deviation; that of RFC 6298.
+/// Weight of the newest sample in the smoothed deviation, as in RFC 6298.
 const DEVIATION_GAIN: f64 = 0.25;
-/// An answer that takes this many deviations longer than usual isn't expected any more; that of RFC 6298.
+/// The timeout exceeds the smoothed response time by this many deviations, as in RFC 6298.
 const DEVIATIONS: f64 = 4.0;
 
-/// Smoothed time of answers, and its deviation. Nothing is known before the first answer.
+/// Smoothed response time and its deviation, which are unknown before the first answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Latency {
     known: Option<Smoothed>,
-    /// Calls without an answer since the last one that was answered.
+    /// Number of calls without an answer since the last answered one.
     missed: u32,
 }
 
-/// Both in seconds.
+/// Smoothed response time and deviation, in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Smoothed {
     time: f64,
@@ -25,7 +25,7 @@
 }
 
 impl Latency {
-    /// Takes in how long an answer took.
+    /// Records the response time of an answered call.
     pub fn observe(&mut self, took: Duration) {
         self.missed = 0;
         let took = took.as_secs_f64();
@@ -38,18 +38,18 @@
         });
     }
 
-    /// A call had no answer in time: the next one is waited for twice as long, or answers that have become slow would never be
-    /// learnt of.
+    /// Records that a call had no answer in time. This doubles the next timeout: otherwise slower answers would never
+    /// be observed.
     pub fn record_timeout(&mut self) {
         self.missed += 1;
     }
 
-    /// How long an answer usually takes; `None` before the first one.
+    /// The smoothed response time; `None` before the first answer.
     pub fn smoothed(&self) -> Option<Duration> {
         self.known.map(|known| Duration::from_secs_f64(known.time))
     }
 
-    /// How long to wait for the next answer, within these bounds; the longest while nothing is known.
+    /// Timeout of the next call, between `least` and `most`; `most` before the first answer.
     pub fn timeout(&self, least: Duration, most: Duration) -> Duration {
         let Some(Smoothed { time, deviation }) = self.known else { return most };
         let usual = Duration::from_secs_f64(time + DEVIATIONS * deviation).clamp(least, most);
--- a/components/sched/src/lease.rs
+++ b/components/sched/src/lease.rs
@@ -1,35 +1,35 @@
-//! When what runs on a worker has surely ended, reckoned by the worker's own clock.
+//! Computes when all leases of a worker have certainly expired, by the worker's own clock.
 
 use std::time::Duration;
 
 use crate::limits::LAPSE_MARGIN;
 
-/// A worker's clock may run this much slow.
+/// The slowest rate that is assumed for a worker's clock.
 const MIN_CLOCK_RATE: f64 = 0.98;
 
-/// What is known of a worker's clock and of the leases that were given there.
+/// What is known of a worker's clock and of its leases.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Lease {
     /// A reading of its clock, and when that arrived here.
     reading: Option<(Duration, Duration)>,
-    /// Latest end that a call may have carried there, on its clock.
+    /// Latest expiry of all leases that may have reached the worker, by its clock.
     until: Duration,
 }
 
 impl Lease {
-    /// The end for a lease given now, on the worker's clock; `None` before its clock is known.
+    /// The expiry of a lease granted now, by the worker's clock; `None` before its clock is known.
     pub fn expiry(&self, now: Duration, lease: Duration) -> Option<Duration> {
         let (clock, at) = self.reading?;
         Some(clock + now.saturating_sub(at) + lease)
     }
 
-    /// Takes note of a lease that may have reached the worker. One that surely didn't is not given.
+    /// Records a lease that may have reached the worker. One that certainly didn't reach it must not be recorded.
     pub fn grant(&mut self, end: Duration) {
         self.until = self.until.max(end);
     }
 
-    /// Takes note of the worker's clock. At the first contact the leader before may just have given a lease as long as
-    /// `inherited`.
+    /// Records a reading of the worker's clock. Before the first one, the previous leader may just have granted a
+    /// lease of duration `inherited`.
     pub fn observe_clock(&mut self, clock: Duration, now: Duration, inherited: Duration) {
         if self.reading.is_none() {
             self.grant(clock + inherited);
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Whether every lease has surely run out.
+    /// Whether all leases have certainly expired.
     pub fn is_expired(&self, now: Duration) -> bool {
         let Some((clock, at)) = self.reading else { return false };
         let least = clock + now.saturating_sub(at + LAPSE_MARGIN).mul_f64(MIN_CLOCK_RATE);
--- a/components/sched/src/lost_runs.rs
+++ b/components/sched/src/lost_runs.rs
@@ -1,4 +1,4 @@
-//! What a worker's end takes with it.
+//! The runs that are lost when a worker ends.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -8,18 +8,19 @@
 use crate::engine::Engine;
 use crate::worker::{Phase, Run};
 
-/// How a worker's life was learnt to be over.
+/// Why an incarnation of a worker is known to have ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerEndReason {
-    /// Another life has answered at its address.
+    /// Another incarnation has answered at its address.
     Replaced,
-    /// The platform's list shows a life that was born later, under its name or at its address.
+    /// The platform's list shows a later incarnation under its name or at its address.
     Followed,
-    /// It has left the platform's list and its leases have run out.
+    /// It isn't in the platform's list any more and its leases have expired.
     Unlisted,
-    /// An earlier leader knew it; nobody lists it any more and it never answered this one.
+    /// It is known from an earlier leader, isn't listed any more, and never answered this leader.
     Unseen,
-    /// It answers, and neither lists a run that it had begun nor the run's end: it has started again under its id.
+    /// It answered, but its report lacks both a run that had started and the end of that run: it has restarted under
+    /// its id.
     Restarted,
 }
 
@@ -36,64 +37,62 @@
     }
 }
 
-/// A worker's life that is over.
+/// An incarnation of a worker that has ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndedWorker {
-    /// The worker.
     pub worker: WorkerId,
-    /// How that was learnt.
+    /// How the end was detected.
     pub reason: WorkerEndReason,
     /// Time since its last answer.
     pub silent: Duration,
-    /// Whether it had announced that it would leave.
+    /// Whether it had announced that it would shut down.
     pub draining: bool,
-    /// Runs that were there, or may have been, when it last answered or later.
+    /// Runs that were, or may have been, on the worker at its last answer or later.
     pub runs: Vec<LostRun>,
-    /// The life that follows it under its name, if that is known.
+    /// The next incarnation under its name, if that is known.
     pub next: Option<WorkerId>,
 }
 
-/// A run that went with its worker.
+/// A run that was lost with its worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LostRun {
-    /// The task.
     pub task: Task,
-    /// The run; 0 where an earlier leader ordered it and its number isn't known.
+    /// The run; 0 if an earlier leader ordered it and its number isn't known.
     pub attempt: Attempt,
-    /// From the decision to start it to the worker's last answer; zero if that answer came before.
+    /// Time from the decision to start it to the worker's last answer; zero if that answer came before.
     pub age: Duration,
-    /// Whether the worker has listed it when it had run for a moment.
+    /// Whether the worker had listed it after its startup window.
     pub seen_running: bool,
-    /// Whether it had certainly begun: this leader has had an answer to its start, or has seen it listed.
+    /// Whether it had certainly started: this leader got an answer to its start, or the worker listed it.
     pub begun: bool,
-    /// Whether its start was answered and no stop was ordered.
+    /// Whether its start was confirmed and no stop was ordered.
     pub confirmed: bool,
-    /// Whether no run of another job was there that the worker hadn't listed yet.
+    /// Whether no other job had a run on the worker that wasn't listed yet.
     pub sole: bool,
-    /// Whether it had been listed, and a task was tried there that is more likely to have taken the worker down.
+    /// Whether it had been listed while a suspect task was tried on the worker, which more likely caused the end.
     pub explained: bool,
-    /// Whether its step is lasting.
-    pub lasting: bool,
-    /// What the worker's end says against its task.
+    /// Whether its step is long-running.
+    pub long_running: bool,
+    /// Evidence that the worker's end gives against its task.
     pub evidence: Option<Evidence>,
-    /// Ends of workers that are held against the task now.
+    /// Number of worker ends that are attributed to the task now.
     pub ends: usize,
-    /// Whether its job is given up for it.
+    /// Whether its job is given up because of it.
     pub given_up: bool,
 }
 
 impl LostRun {
-    /// Which run it is.
+    /// Identifies the run.
     pub(crate) fn key(&self) -> (Task, Attempt) {
         (self.task, self.attempt)
     }
 
-    /// Whether it may have begun a moment before its worker fell silent.
+    /// Whether it may have started just before its worker fell silent.
     pub(crate) fn may_have_begun_last(&self) -> bool {
         !self.seen_running || !self.begun
     }
 
-    /// A task that an earlier leader placed on a worker from which nothing has been heard since.
+    /// A run that an earlier leader ordered from a worker that hasn't been heard of since.
     pub(crate) fn inherited(task: Task, attempt: Attempt) -> LostRun {
         LostRun {
             task,
@@ -104,7 +103,7 @@
             confirmed: false,
             sole: false,
             explained: false,
-            lasting: false,
+            long_running: false,
             evidence: None,
             ends: 0,
             given_up: false,
@@ -113,7 +112,8 @@
 }
 
 impl Engine {
-    /// What goes with a worker that was last heard at this time: its runs, but for starts that weren't sent.
+    /// The runs that are lost if a worker, last heard at this time, has ended: all except those whose starts weren't
+    /// sent.
     pub(crate) fn losses(&self, id: &str, last_heard: Duration) -> Vec<LostRun> {
         let Some(worker) = self.workers.get(id) else { return Vec::new() };
         let sent: Vec<(Task, Attempt, &Run)> = worker
@@ -131,13 +131,13 @@
             confirmed: matches!(run.phase, Phase::Running(_)),
             sole: new.len() == 1,
             explained: run.seen_running && worker.suspects > 0,
-            lasting: self.step(*task).is_some_and(|step| step.long_running),
+            long_running: self.step(*task).is_some_and(|step| step.long_running),
             ..LostRun::inherited(*task, *attempt)
         };
         sent.iter().map(lost).collect()
     }
 
-    /// Takes the ends of workers since the last call.
+    /// Takes the workers that have ended since the last call.
     pub fn take_ended_workers(&mut self) -> Vec<EndedWorker> {
         std::mem::take(&mut self.ended_workers)
     }
--- a/components/sched/src/order.rs
+++ b/components/sched/src/order.rs
@@ -1,4 +1,4 @@
-//! Outcomes of orders to workers.
+//! Handles the outcomes of orders to workers.
 
 use work::{Attempt, Task};
 
@@ -6,18 +6,18 @@
 use crate::entry::Placement;
 use crate::worker::Phase;
 
-/// What became of an order to start.
+/// Outcome of an order to start a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The run is there.
+    /// The run has started.
     Started,
-    /// The worker refused it and has done nothing.
+    /// The worker refused the order without starting anything.
     Refused,
-    /// The worker took the ticket for no longer valid.
+    /// The worker considered the ticket expired.
     Ticket,
-    /// The worker is unhealthy and has done nothing.
+    /// The worker is unhealthy and has started nothing.
     Unhealthy,
-    /// There was no answer: it may start now or later.
+    /// There was no answer: the run may start now or later.
     Unknown,
 }
 
@@ -35,14 +35,14 @@
 }
 
 impl Engine {
-    /// Takes in what became of a start.
+    /// Processes the outcome of a start order.
     pub fn start_answered(&mut self, clock: Clock, id: &str, task: Task, attempt: Attempt, outcome: Outcome) {
         match outcome {
             Outcome::Started => self.confirmed(clock, id, task, attempt),
             Outcome::Unknown => {
                 self.unanswered(clock, id);
                 self.stop_run(id, task, attempt);
-                // The others of its gang would wait for it in vain.
+                // The other members of its gang would wait for it in vain.
                 if self.step(task).is_some_and(|step| step.gang) {
                     self.stop_unit(task.unit);
                 }
@@ -61,14 +61,14 @@
         }
     }
 
-    /// A start had no answer: the worker is avoided, longer each time in a row.
+    /// Avoids a worker after an unanswered start, with exponential backoff.
     fn unanswered(&mut self, clock: Clock, id: &str) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         worker.avoid(clock.now, worker.unanswered);
         worker.unanswered += 1;
     }
 
-    /// The worker has taken a start.
+    /// Processes the worker's confirmation of a start.
     fn confirmed(&mut self, clock: Clock, id: &str, task: Task, attempt: Attempt) {
         let mark = self.next_mark();
         self.begin(task);
@@ -95,14 +95,13 @@
         self.actions.push(Action::Stop(id.to_owned(), task, attempt));
     }
 
-    /// Orders stops of several runs.
     pub(crate) fn stop_runs(&mut self, placements: Vec<Placement>) {
         for Placement { worker, task, attempt } in placements {
             self.stop_run(&worker, task, attempt);
         }
     }
 
-    /// The worker took a stop: the run ends soon, or never begins.
+    /// Processes the worker's confirmation of a stop: the run ends soon, or never starts.
     pub fn stop_accepted(&mut self, id: &str, task: Task, attempt: Attempt) {
         let mark = self.next_mark();
         let Some(worker) = self.workers.get_mut(id) else { return };
@@ -111,7 +110,7 @@
         }
     }
 
-    /// A run is certainly not there any more.
+    /// Removes a run that has certainly ended or never started.
     pub(crate) fn release(&mut self, clock: Clock, id: &str, task: Task, attempt: Attempt) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         worker.remove_run(task, attempt);
--- a/components/sched/src/place.rs
+++ b/components/sched/src/place.rs
@@ -15,20 +15,20 @@
 use crate::room::{Choice, Room};
 use crate::worker::{self, Contact, Pauses, Run, Worker};
 
-/// Whether a question would help a unit is looked at again after this time: about as often as room changes.
+/// Interval after which further questions for a unit are considered: about as often as room changes.
 const ASK_INTERVAL: Duration = Duration::from_millis(50);
-/// Up to so many waiting units are looked at in each pass.
+/// Number of waiting units up to which every pass tries all of them.
 const MAX_UNITS_PER_PASS: usize = 16;
-/// Where more wait, a unit for which there was no place is looked at again after this time, unless it learns of workers: looks at all
-/// workers for all units in each pass would take the leader's time.
+/// When more units wait, one that found no place is tried again after this interval, unless it learns of new workers.
+/// Checking all workers for all units in every pass would take too much of the leader's CPU time.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// Rounds of one job that are taken up in one pass.
+/// Maximum number of rounds of one job that are opened in one pass.
 const MAX_ROUNDS_PER_PASS: u32 = 16;
-/// Units of one job that may be open before further rounds are taken up.
+/// No further rounds of a job are opened while it has this many unfinished units.
 const MAX_OPEN_UNITS: usize = 256;
 
 impl Engine {
-    /// Starts what can be started, asks what must be known, stops what is left of broken gangs.
+    /// Runs one scheduling pass: starts tasks, asks the adviser, and stops the remaining members of broken gangs.
     pub fn plan(&mut self, clock: Clock) {
         if std::mem::take(&mut self.reconfigured) {
             self.fail_exhausted(clock);
@@ -65,7 +65,8 @@
         self.settled = clock.now.saturating_sub(self.term_start) > waits;
     }
 
-    /// Workers that have never answered and that nobody lists any more, and whose leases have run out: those of earlier reigns have, by now.
+    /// Ends workers that have never answered in this term, aren't listed any more, and whose leases have expired:
+    /// leases of earlier terms have expired by now.
     fn drop_unseen(&mut self, clock: Clock) {
         let longest = self.limits.longest_lease();
         let over = |worker: &Worker| {
@@ -82,7 +83,7 @@
         let ids: Vec<_> = self.live.iter().copied().collect();
         for id in ids {
             let Some(entry) = self.jobs.get_mut(&id) else { continue };
-            // Rounds that fell due while nobody led are taken up a few at a time.
+            // Rounds that became due while there was no leader are opened a few at a time.
             let unfinished = entry.units.values().filter(|unit| !unit.is_complete()).count();
             let most = entry.opened.saturating_add(MAX_ROUNDS_PER_PASS);
             while entry.opened < entry.job.rounds() && entry.job.due(entry.opened) <= clock.wall {
@@ -94,13 +95,13 @@
         }
     }
 
-    /// The room on all workers that may get new work.
+    /// The room on all usable workers.
     pub(crate) fn room(&self, clock: Clock) -> Room {
         let pauses = self.pauses();
         Room::new(self.usable(clock, pauses), clock.now, pauses)
     }
 
-    /// The room of the last pass, brought up to date: a new one costs more than a look at each worker.
+    /// The room of the last pass, updated: rebuilding it costs more than a look at each worker.
     fn fresh_room(&mut self, clock: Clock) -> Room {
         let mut room = std::mem::take(&mut self.room);
         let pauses = self.pauses();
@@ -110,25 +111,26 @@
         }
     }
 
-    /// Workers that may get new work, in the order of their names.
+    /// Workers that may get new work, by name.
     fn usable(&self, clock: Clock, pauses: Pauses) -> impl Iterator<Item = (&WorkerId, &Worker)> {
         let durable = self.durable;
         self.workers.iter().filter(move |(_, worker)| worker.usable(clock.now, durable, pauses))
     }
 
-    /// By when a start that is decided now reaches its worker. A busy leader takes long over its record and the order: a ticket that has
-    /// run out by then breaks a gang.
+    /// The expected arrival of a start that is decided now at its worker. On a busy leader the record and the order
+    /// take long, and a ticket that has expired by then breaks a gang.
     pub(crate) fn start_arrival(&self, clock: Clock) -> Duration {
         let usual = self.start_latency.timeout(TICKET_MARGIN, MAX_TICKET_MARGIN);
         clock.now + if self.start_latency.smoothed().is_some() { usual } else { TICKET_MARGIN }
     }
 
-    /// Whether a unit that found no place lately is passed over. Not one for which room is kept.
+    /// Whether a unit is skipped because it found no place recently and no room is reserved for it.
     fn is_deferred(&self, clock: Clock, unit: Unit) -> bool {
         self.unit(unit).is_some_and(|state| clock.now < state.retry_at && state.claims.is_empty())
     }
 
-    /// Starts what can be started of a unit, and asks about the rest.
+    /// Starts the tasks of a unit that can be started, asks the adviser for the others, and preempts less urgent
+    /// runs.
     fn schedule_unit(&mut self, clock: Clock, candidate: &Candidate, room: &mut Room) {
         let unit = candidate.unit;
         if let Some(state) = self.unit_mut(unit) {
@@ -151,9 +153,9 @@
         if most < if step.gang { state.pending } else { 1 } {
             return self.reserve_gang_quota(unit, step);
         }
-        // A job that isn't kept yet is placed all the same: its starts are sent after its own record is written.
+        // A job that isn't durable yet is placed anyway: its starts are sent after its own record is written.
         let kept = entry.accepted.position <= self.durable;
-        // Nor is it asked about meanwhile: its tickets would run out.
+        // Nor does it keep asking the adviser meanwhile, since the tickets would expire.
         let left = self.headroom_limit(clock, unit, step, &queue, room);
         if left == 0 {
             return self.defer(clock, unit);
@@ -166,7 +168,7 @@
         } else {
             self.start(clock, unit, step, choices, room);
         }
-        // Until then it asks once: the store may be away for long.
+        // Before the job is durable it asks only once: a store outage may be long.
         if kept || self.unit(unit).is_some_and(|state| state.advice.is_new()) {
             self.ask(clock, unit, &queue, room);
         }
@@ -180,8 +182,8 @@
         self.reserve_claimed_quota(unit);
     }
 
-    /// Keeps what a gang needs of its workspace's limit while room is put together for it: else it would be stopped short by the limit
-    /// once there is room.
+    /// Reserves a gang's share of its workspace's limit while room is assembled for it. Otherwise it would hit the
+    /// limit once there is room.
     fn reserve_claimed_quota(&mut self, unit: Unit) {
         let Some(entry) = self.jobs.get(&unit.job) else { return };
         let Some(step) = entry.step(unit.step).filter(|step| step.gang) else { return };
@@ -191,8 +193,8 @@
         self.quota.take(entry.workspace, &step.need, state.pending);
     }
 
-    /// A unit waits for its workspace's limit. What a gang needs of it is kept from less urgent units of the same workspace, whose
-    /// small tasks would else use up whatever comes free.
+    /// Reserves what a gang that waits for its workspace's limit needs of it. Otherwise small tasks of less urgent
+    /// units of the same workspace would use up whatever becomes free.
     fn reserve_gang_quota(&mut self, unit: Unit, step: &Step) {
         if step.gang {
             let workspace = self.jobs.get(&unit.job).and_then(|entry| entry.workspace);
@@ -200,14 +202,14 @@
         }
     }
 
-    /// There was no place for a unit.
+    /// Skips a unit that found no place for [`RETRY_INTERVAL`].
     fn defer(&mut self, clock: Clock, unit: Unit) {
         if let Some(state) = self.unit_mut(unit) {
             state.retry_at = clock.now + RETRY_INTERVAL;
         }
     }
 
-    /// Keeps the room that is being made for a unit from all others.
+    /// Withholds the room that is reserved for a unit from all others.
     fn keep_claims(&mut self, clock: Clock, unit: Unit, room: &mut Room) {
         let Some(entry) = self.jobs.get_mut(&unit.job) else { return };
         let Some(need) = entry.step(unit.step).map(taken_room) else { return };
@@ -216,14 +218,14 @@
         room.claim(&state.claims, &need);
     }
 
-    /// Puts the next questions for a unit whose tasks wait, where its queue has an adviser.
+    /// Asks the next questions for a unit with pending tasks whose queue has an adviser.
     fn ask(&mut self, clock: Clock, unit: Unit, queue: &Queue, room: &Room) {
         let Some(advice) = queue.advice else { return };
         let Some(state) = self.unit(unit) else { return };
         if state.pending == 0 || clock.now < state.advice.ask_at {
             return;
         }
-        // Then places are found where others can be stopped, too.
+        // Room that preemption can free counts, too.
         let step = self.jobs.get(&unit.job).and_then(|entry| entry.step(unit.step));
         let assembles = step.is_some_and(|step| self.assembles(clock, unit, step));
         if assembles {
@@ -236,7 +238,6 @@
         questions.into_iter().for_each(|question| self.send_question(question));
     }
 
-    /// Has a question asked.
     fn send_question(&mut self, question: Question) {
         if let Some(state) = self.unit_mut(question.unit) {
             state.advice.asking.extend(question.workers.iter().cloned());
@@ -296,12 +297,12 @@
         }
     }
 
-    /// Whether no waiting task of a unit may still run where an earlier leader has placed it.
+    /// Whether no pending task of a unit may still run where an earlier leader placed it.
     pub(crate) fn resolved(&self, state: &UnitState) -> bool {
         self.unresolved(state).is_none()
     }
 
-    /// A worker on which an earlier leader placed a task that waits now, and which hasn't answered yet.
+    /// A worker that hasn't answered yet and on which an earlier leader placed a task that is pending now.
     pub(crate) fn unresolved<'a>(&self, state: &'a UnitState) -> Option<&'a WorkerId> {
         if self.settled {
             return None;
@@ -310,7 +311,7 @@
         state.tasks.iter().filter_map(|task| task.inherited.as_ref()).map(|run| &run.worker).find(open)
     }
 
-    /// Sends the starts whose records are durable, unless they have become pointless meanwhile.
+    /// Sends the starts whose records are durable, unless they have become pointless.
     pub(crate) fn send_decided(&mut self, clock: Clock) {
         while let Some((position, worker, start)) = self.unsent_starts.pop_front() {
             if position > self.durable {
@@ -325,8 +326,8 @@
         }
     }
 
-    /// Whether a start that was given out and not sent yet is still to be sent: neither was a stop decided, nor does its worker leave, nor
-    /// has its room shrunk below what it would run.
+    /// Whether a start that hasn't been sent yet is still to be sent. It isn't if a stop was decided, the worker is
+    /// draining or evacuated, or its capacity has shrunk below the needs of its runs.
     pub fn is_start_wanted(&self, worker: &str, task: Task, attempt: Attempt) -> bool {
         let Some(worker) = self.workers.get(worker) else { return false };
         let run = worker.runs.get(&(task, attempt));
--- a/components/sched/src/preempt.rs
+++ b/components/sched/src/preempt.rs
@@ -1,7 +1,8 @@
-//! Makes room for a large urgent task that fits nowhere, by stopping less urgent ones that go on from a checkpoint.
+//! Frees room for a large urgent task that fits nowhere by preempting less urgent runs that resume from a checkpoint.
 //!
-//! A task that needs all accelerators of a worker, and may run on a few workers only, would wait for long: one of its accelerators always
-//! has a small task. For small tasks no room is made: that gains little and makes patient jobs late.
+//! A task that needs all accelerators of a worker, and may run on a few workers only, could wait for long, because a
+//! small task nearly always uses one of the accelerators. No runs are preempted for small tasks: that gains little
+//! and delays less urgent jobs.
 
 use std::time::Duration;
 
@@ -13,45 +14,46 @@
 use crate::room::{Place, Room};
 use crate::worker::{Health, Phase, Run, Worker};
 
-/// Room that was made is kept this long: a stop takes up to 0.4 s, and its end is reported at once.
+/// How long freed room is reserved. A stop takes up to 0.4 s, and the end of the run is reported at once.
 const CLAIM_TTL: Duration = Duration::from_millis(1500);
-/// An accelerator counts as so many cores in what a stop costs: the users' price.
+/// Number of cores that one accelerator counts as in the cost of a preemption, as users price it.
 const CORES_PER_ACCELERATOR: u64 = 8;
 
-/// A task that takes more than this share of a worker in any dimension is large: room for smaller ones comes by itself.
+/// A task that needs more than this share of a worker in any dimension counts as large. Room for smaller ones becomes
+/// free without preemption.
 const LARGE_SHARE: f64 = 0.5;
 
-/// Room on a worker that is being made for tasks of a unit.
+/// A reservation of room on a worker for tasks of a unit.
 #[derive(Clone, Debug)]
 pub(crate) struct Claim {
     pub worker: WorkerId,
-    /// For so many tasks.
+    /// Number of tasks that the room is for.
     pub tasks: usize,
-    /// Until when it is kept.
+    /// When the reservation expires.
     pub until: Duration,
 }
 
-/// What was decided for a unit that needs room, for the log.
+/// A decision to preempt runs for a unit, for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Preemption {
-    /// The unit.
+    /// The unit that needs the room.
     pub unit: Unit,
     /// The worker.
     pub worker: WorkerId,
-    /// Runs that are stopped there.
+    /// Number of runs that are stopped there.
     pub stopped: usize,
 }
 
-/// Runs on one worker whose stop makes room.
+/// Runs on one worker whose preemption frees enough room.
 struct Victims {
     worker: WorkerId,
     runs: Vec<(Task, Attempt)>,
-    /// What they take, in thousandths of a core.
+    /// Their total cost, in thousandths of a core.
     weight: u64,
 }
 
 impl Engine {
-    /// Makes room for one waiting task of a unit, unless room is being made for all of them.
+    /// Preempts runs for one waiting task of a unit, unless room is already reserved for all of them.
     pub(crate) fn make_room(&mut self, clock: Clock, unit: Unit, step: &Step, queue: &Queue, room: &Room) {
         if step.gang || step.long_running {
             return;
@@ -61,7 +63,7 @@
             return;
         }
         let need = taken_room(step);
-        // What costs least is asked first: most tasks are small everywhere.
+        // The cheapest check comes first: most tasks are small on every worker.
         let places = room.places.iter().filter(|place| need.dominant_share(&place.info.capacity) > LARGE_SHARE);
         let places = places.filter(|place| place.health == Health::Good && place.tasks(state, step) == 0);
         let start_arrival = self.start_arrival(clock);
@@ -81,12 +83,12 @@
         }
     }
 
-    /// Takes note of the room that was made since the last call.
+    /// Takes the preemptions since the last call.
     pub fn take_preemptions(&mut self) -> Vec<Preemption> {
         std::mem::take(&mut self.preemptions)
     }
 
-    /// The runs on a worker that are to be stopped for a task of this need; `None` where that isn't enough.
+    /// The runs to preempt on a worker for a task of this need; `None` if that doesn't free enough room.
     fn victims(&self, worker: &str, need: &Resources, priority: u32) -> Option<Victims> {
         let (id, worker) = self.workers.get_key_value(worker)?;
         let mut runs: Vec<_> = stoppable(worker, priority).collect();
@@ -104,7 +106,7 @@
         (need.fits_in(&free) && !victims.runs.is_empty()).then_some(victims)
     }
 
-    /// Priority of a unit's queue, if its runs lose little when they are stopped.
+    /// Priority of a unit's queue, if its runs lose little when they are preempted.
     pub(crate) fn stoppable_for(&self, unit: Unit, step: &Step) -> Option<u32> {
         let saves = step.checkpoints && !step.long_running && !step.gang;
         let entry = self.jobs.get(&unit.job).filter(|_| saves)?;
@@ -112,7 +114,7 @@
     }
 }
 
-/// Runs on a worker that may be stopped for a queue of this priority.
+/// Runs on a worker that may be preempted for a queue of this priority.
 pub(crate) fn stoppable(worker: &Worker, priority: u32) -> impl Iterator<Item = ((Task, Attempt), Resources)> + '_ {
     let runs = worker.runs.iter();
     let stoppable = move |(_, run): &(&(Task, Attempt), &Run)| {
@@ -121,7 +123,7 @@
     runs.filter(stoppable).map(|(key, run)| (*key, run.need))
 }
 
-/// What a run of this need costs, in thousandths of a core.
+/// Cost of preempting a run of this need, in thousandths of a core.
 pub(crate) fn weight(need: &Resources) -> u64 {
     u64::from(need.cpu_milli) + u64::from(need.accelerators) * CORES_PER_ACCELERATOR * 1000
 }
--- a/components/sched/src/questions.rs
+++ b/components/sched/src/questions.rs
@@ -1,8 +1,9 @@
-//! What to ask the adviser next about a unit: whom to name, and in how many questions.
+//! Chooses the next questions to the adviser about a unit: which workers to name, and in how many questions.
 //!
-//! The adviser works on one question of each calling host at a time, and a long question takes long. So what a unit needs is
-//! asked in several short questions at once where hosts are free, and its tickets come, and hold, together. With one question at a
-//! time the tickets of the first answers have run out before the last comes, and a wide gang never begins.
+//! The adviser works on one question per calling host at a time, and its answer takes longer the more workers are
+//! named. If several hosts are free, a unit's workers are therefore split into several short questions that are asked
+//! at once, so that all tickets arrive, and are valid, together. With one question at a time, the tickets of the
+//! first answers would expire before the last one arrives, and a wide gang would never start.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -18,74 +19,75 @@
 /// A question to the adviser.
 #[derive(Clone, Debug)]
 pub struct Question {
-    /// The unit.
+    /// The unit that the workers are to run.
     pub unit: Unit,
     /// Workers to name.
     pub workers: Vec<WorkerId>,
-    /// How long the adviser will take.
+    /// How long the adviser is expected to take.
     pub cost: Duration,
-    /// Priority of the queue; 0 goes first.
+    /// Priority of the queue; 0 is the most urgent.
     pub priority: u32,
-    /// How long the tickets hold.
+    /// How long the tickets are valid.
     pub validity: Duration,
 }
 
-/// What is to be asked about.
+/// What a question is based on.
 pub(crate) struct Inquiry<'a> {
     pub unit: Unit,
-    /// How long the adviser takes.
+    /// Response times of the adviser.
     pub advice: Advice,
     pub queue: &'a Queue,
     pub room: &'a Room,
-    /// Whether places are found where others can be stopped, too; see [`crate::assemble`].
+    /// Whether room that preemption can free counts, too; see [`crate::assemble`].
     pub assembles: bool,
 }
 
-/// Names are added until the room expected on healthy workers is this many times what the unit needs.
+/// Workers are named until their expected room is this multiple of what the unit needs.
 const ROOM_FACTOR: f64 = 2.0;
-/// Fewest workers named in a question that isn't only about known ones.
+/// Minimum number of workers that a question names, unless it is only about known ones.
 const MIN_NAMED: usize = 6;
-/// As many are named as leave this chance that none of them may run the unit: another question costs a lasting task half a
-/// second of the ten in which it is to be back.
+/// Enough workers are named that the probability that none of them may run the unit is at most this. Another question
+/// costs a long-running task half a second of the ten within which it must run again.
 const MAX_CHANCE_OF_NONE: f64 = 0.02;
-/// Most workers that a question may name: a bound of the adviser.
+/// Maximum number of workers that a question may name; a limit of the adviser.
 const MAX_NAMED: usize = 100;
-/// What a worker without room at the moment counts for, in tasks: its room may come back soon.
+/// Number of tasks that a worker counts for while it has no room, which it may have soon.
 const FULL_WORKER_TASKS: f64 = 0.3;
-/// A question isn't split further once naming its workers takes less than this share of what any question takes.
+/// Questions aren't split further once the time for the named workers is less than this share of the fixed time per
+/// question.
 const MIN_NAMING_SHARE: f64 = 0.5;
-/// A unit takes at most this share of the hosts that are free to ask, so that others that come at the same time find some, too. Where few
-/// are free it puts one question at a time.
+/// Maximum share of the free hosts that a unit uses for its questions, so that other units find free hosts at the
+/// same time. With few free hosts a unit asks one question at a time.
 const MAX_ASKER_SHARE: f64 = 0.125;
-/// While answers are outstanding, further questions must be expected to bring this share of what the unit needs: else each
-/// worker on which room comes free is asked about by itself.
+/// While answers are outstanding, further questions must be expected to give this share of what the unit needs.
+/// Otherwise each worker on which room becomes free would be asked about in a question of its own.
 const MIN_EXPECTED_SHARE: f64 = 0.25;
 
 /// A worker that a question could name.
 #[derive(Clone, Copy)]
 struct Named<'a> {
     id: &'a WorkerId,
-    /// Tasks for which it is expected to give room.
+    /// Number of tasks that it is expected to have room for.
     expected: f64,
 }
 
-/// Room for a unit's tasks on workers that were named before, in tasks.
+/// Room for a unit's tasks on workers that were named before, as a number of tasks.
 struct Supply<'a> {
-    /// Where a ticket holds long enough.
+    /// On workers whose tickets are valid for long enough.
     held: f64,
-    /// Expected on workers that are named in questions under way.
+    /// Expected on workers that are named in unanswered questions.
     coming: f64,
-    /// Workers that may run the unit and need a new ticket, those with most room first.
+    /// Workers that may run the unit but need a new ticket, those with most room first.
     expired: Vec<Named<'a>>,
 }
 
 impl Engine {
-    /// Takes note of how many hosts are free to ask the adviser a long question.
+    /// Sets the number of hosts that are free to ask the adviser a long question.
     pub fn set_askers(&mut self, free: usize) {
         self.askers = free;
     }
 
-    /// The next questions for a unit; none if none would help.
+    /// The next questions for a unit; none if no question would help.
     pub(crate) fn questions(&self, clock: Clock, inquiry: &Inquiry) -> Vec<Question> {
         let Inquiry { unit, advice, queue, assembles, .. } = *inquiry;
         let most = most_questions(self.askers);
@@ -102,7 +104,7 @@
         workers.chunks(length(workers.len(), advice, most)).take(most).map(question).collect()
     }
 
-    /// Where room is claimed for a gang, the workers there whose tickets don't hold until the room has come free.
+    /// If room is reserved for a gang, the workers there whose tickets expire before the room is free.
     fn claimed(&self, clock: Clock, unit: Unit) -> Option<Vec<WorkerId>> {
         let state = self.unit(unit).filter(|state| !state.claims.is_empty())?;
         let until = self.start_arrival(clock) + MAX_STOP_TIME;
@@ -110,7 +112,7 @@
         Some(state.claims.iter().map(|claim| &claim.worker).filter(short).cloned().collect())
     }
 
-    /// Workers that the next questions for a unit name: known ones whose tickets run out, then others.
+    /// Workers to name in the next questions for a unit: first known ones whose tickets expire, then others.
     fn named(&self, clock: Clock, inquiry: &Inquiry, most: usize) -> Option<Vec<WorkerId>> {
         let Inquiry { unit, advice, queue, room, assembles } = *inquiry;
         let entry = self.jobs.get(&unit.job)?;
@@ -128,7 +130,8 @@
         if scarce && !idle {
             return None;
         }
-        // A gang's tickets should still hold when the next answers come, where that costs no other unit its turn.
+        // A gang's tickets should still be valid when the next answers arrive, unless that delays questions of other
+        // units.
         let start_arrival = self.start_arrival(clock);
         let until = if step.gang && !scarce { start_arrival + cost(advice, MIN_NAMED) } else { start_arrival };
         let Supply { held, coming, expired } = supply(&state.advice, room, share, until, slots);
@@ -136,14 +139,15 @@
         if there >= needed {
             return None;
         }
-        // Full workers are asked about one question at a time, to learn who may run the unit once room comes.
+        // While no question is open, full workers are asked about as well, to learn which ones may run the unit once
+        // they have room.
         let full_too = idle && state.advice.asked.len() < room.places.len();
         let known = expected(&expired);
         let missing = if there + known < needed { ROOM_FACTOR * needed - there - known } else { 0.0 };
         let fresh = fresh(&state.advice, share, missing, state.pending, room, most * MAX_NAMED, |place| {
             slots(place).filter(|slots| *slots > 0 || full_too)
         });
-        // Tickets for a part of a gang are of no use.
+        // Tickets for only a part of a gang are useless.
         let whole = !step.gang || there + known + expected(&fresh) >= needed;
         let renewed = if whole { at_most(expired, ROOM_FACTOR * needed - there) } else { Vec::new() };
         if !idle && expected(&renewed) + expected(&fresh) < MIN_EXPECTED_SHARE * needed {
@@ -153,7 +157,7 @@
     }
 }
 
-/// What the workers that were named before give.
+/// Room on the workers that were named before.
 fn supply<'a>(
     known: &UnitAdvice,
     room: &'a Room,
@@ -181,7 +185,7 @@
     supply
 }
 
-/// Workers that weren't asked about yet, as many as are expected to give room for `missing` tasks; none if it is 0.
+/// Workers that weren't asked about yet, with expected room for `missing` tasks; none if that is 0.
 fn fresh<'a>(
     known: &UnitAdvice,
     share: f64,
@@ -197,12 +201,12 @@
     }
     let fewest = fewest_named(share);
     let asked = |place: &Place| known.asked.contains(&place.id) || known.asking.contains(&place.id);
-    // Room is looked at first: that costs less, and while many units wait there is little.
+    // Room is checked first: that is cheaper, and while many units wait there is little room.
     let open = room.places.iter().enumerate().filter_map(|(index, place)| Some((index, slots(place)?)));
     let open = open.filter(|(index, _)| !asked(&room.places[*index])).collect();
     let mut found = 0.0;
     for (index, slots) in best(open, tasks, room, most) {
-        // Where there is no room one question is enough, to learn who may run the unit.
+        // Among workers without room one question is enough, to learn which ones may run the unit.
         let full = slots == 0 && workers.len() >= MAX_NAMED;
         if full || (found >= missing && workers.len() >= fewest) {
             break;
@@ -218,7 +222,7 @@
     named.iter().map(|named| named.expected).sum()
 }
 
-/// The first of `named` that give room for `tasks`.
+/// The first of `named` that together have room for `tasks`.
 fn at_most(named: Vec<Named>, tasks: f64) -> Vec<Named> {
     let mut found = 0.0;
     let enough = |named: &Named| {
@@ -229,17 +233,17 @@
     named.into_iter().take_while(enough).collect()
 }
 
-/// How long the adviser takes for a question that names so many.
+/// The expected response time for a question that names this many workers.
 fn cost(advice: Advice, named: usize) -> Duration {
     advice.base + advice.per_worker * named as u32
 }
 
-/// How many questions a unit may put at once, where so many hosts are free.
+/// The number of questions that a unit may ask at once, given the number of free hosts.
 fn most_questions(askers: usize) -> usize {
     ((askers as f64 * MAX_ASKER_SHARE) as usize).max(1)
 }
 
-/// How many workers each question names, where `named` are to be named in at most so many questions.
+/// The number of workers that each question names, if `named` workers are split into at most `most` questions.
 fn length(named: usize, advice: Advice, most: usize) -> usize {
     let naming = advice.per_worker.as_secs_f64() * named as f64;
     let split = (naming / (MIN_NAMING_SHARE * advice.base.as_secs_f64()).max(f64::MIN_POSITIVE)).ceil();
@@ -247,18 +251,18 @@
     named.div_ceil(questions).clamp(1, MAX_NAMED)
 }
 
-/// How many workers to name at least, where this share of them may run a unit.
+/// The minimum number of workers to name, given the share of workers that may run the unit.
 fn fewest_named(share: f64) -> usize {
     let enough = MAX_CHANCE_OF_NONE.ln() / (1.0 - share).max(f64::MIN_POSITIVE).ln();
     (enough.ceil() as usize).clamp(MIN_NAMED, MAX_NAMED)
 }
 
-/// Of places, each with the tasks that fit there, the `most` that questions may name, the best first: with room for all
-/// tasks, and of these the fullest, so that empty workers stay whole for larger tasks.
+/// The best `most` of the `open` workers, given with the number of tasks that fit there: first those with room for
+/// all tasks, and among them the fullest, so that empty workers remain free for larger tasks.
 fn best(mut open: Vec<(usize, usize)>, tasks: usize, room: &Room, most: usize) -> Vec<(usize, usize)> {
     let key =
         |(index, slots): &(usize, usize)| (Reverse((*slots).min(tasks)), room.places[*index].free.cpu_milli, *index);
-    // Of thousands of workers only those that may be named are put in order.
+    // Out of thousands of workers only those that may be named are sorted.
     if open.len() > most {
         open.select_nth_unstable_by_key(most, key);
         open.truncate(most);
--- a/components/sched/src/quota.rs
+++ b/components/sched/src/quota.rs
@@ -1,8 +1,9 @@
 //! Limits of workspaces: how much may run for each of them at once.
 //!
-//! What counts is every run that is, or may be, on a worker: from the decision to start it until its end is certain. After a
-//! takeover that is also what the leader before has placed on workers that haven't answered yet. The limit itself is aimed at, so
-//! that what nobody can know (an order that a worker carries out late) stays within the overage that operators allow.
+//! Usage includes every run that is, or may be, on a worker: from the decision to start it until it has certainly
+//! ended. After a takeover that includes what the previous leader placed on workers that haven't answered yet. Runs
+//! are started up to the limit itself, so that what can't be known (such as an order that a worker carries out late)
+//! stays within the overage that operators allow.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -16,39 +17,39 @@
 use crate::entry::Entry;
 use crate::worker::{Contact, Worker};
 
-/// Place of a workspace among the accounts.
+/// Index of a workspace in [`Quota::accounts`].
 pub(crate) type WorkspaceIndex = usize;
 
-/// What a run takes of its workspace's limit.
+/// What a run counts against its workspace's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Charge {
     pub workspace: WorkspaceIndex,
     pub need: Resources,
 }
 
-/// One workspace.
+/// Limit and usage of a workspace.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Account {
     pub name: WorkspaceName,
-    /// 0 in a dimension stands for any amount.
+    /// 0 in a dimension means unlimited.
     limit: Resources,
     used: Resources,
-    /// Jobs refused in this reign.
+    /// Number of jobs refused in this term.
     refused: u64,
 }
 
-/// All workspaces that the book knows.
+/// Limits and usage of all known workspaces.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Quota {
     indices: HashMap<WorkspaceName, WorkspaceIndex>,
     accounts: Vec<Account>,
-    /// What earlier leaders have placed and what may run on, by worker.
+    /// Runs that earlier leaders ordered and that may still go on, by worker.
     inherited: HashMap<WorkerId, Vec<InheritedRun>>,
-    /// The same by task, while the log is read.
+    /// The same by task; filled only while the log is replayed.
     replayed: HashMap<Task, Vec<(WorkerId, InheritedRun)>>,
 }
 
-/// A run that an earlier leader has ordered.
+/// A run that an earlier leader ordered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct InheritedRun {
     task: Task,
@@ -60,33 +61,33 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Error)]
 #[error("step {step} needs {need} at once, the workspace's limit is {limit}")]
 pub struct Excess {
-    /// The step.
+    /// The number of the step that exceeds the limit.
     pub step: u16,
-    /// What it needs at once: for one task, or for a whole gang.
+    /// What the step needs at once: for one task, or for a whole gang.
     pub need: Resources,
-    /// The limit; 0 in a dimension stands for any amount.
+    /// The limit; 0 in a dimension means unlimited.
     pub limit: Resources,
 }
 
-/// How a workspace stands.
+/// Limit and usage of a workspace.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 pub struct Workspace {
     /// Its name.
     pub name: WorkspaceName,
-    /// The most that may run for it at once; 0 in a dimension stands for any amount.
+    /// Resources that may be in use for it at once; 0 in a dimension means unlimited.
     pub limit: Resources,
-    /// What runs for it, or may.
+    /// Resources that are, or may be, in use for it.
     pub used: Resources,
-    /// Its jobs that haven't ended.
+    /// Number of its jobs that haven't ended.
     pub live: usize,
-    /// Those of them none of whose tasks has begun.
+    /// Number of those none of whose tasks has started.
     pub waiting: usize,
-    /// Jobs that this leader has refused since they can never run within its limit.
+    /// Number of jobs that this leader refused because they can never run within the limit.
     pub refused: u64,
 }
 
 impl Account {
-    /// What may be started besides what runs.
+    /// What may be started in addition to current usage.
     fn free(&self) -> Resources {
         let left = |limit: u32, used: u32| if limit == 0 { u32::MAX } else { limit.saturating_sub(used) };
         Resources {
@@ -98,7 +99,7 @@
 }
 
 impl Quota {
-    /// The number of a workspace, which has no limit until a configuration names it.
+    /// The index of a workspace, which is added without a limit if it is unknown.
     pub(crate) fn index(&mut self, name: &str) -> WorkspaceIndex {
         if let Some(index) = self.indices.get(name) {
             return *index;
@@ -113,7 +114,7 @@
         self.accounts.get(index).map(|account| &account.name)
     }
 
-    /// Takes the limits of a configuration. A workspace that it lacks keeps its last one: its jobs go on.
+    /// Applies the limits of a configuration. A workspace that it lacks keeps its last limit, since its jobs go on.
     pub(crate) fn configure(&mut self, config: &Config) {
         for workspace in &config.workspaces {
             let index = self.index(&workspace.name);
@@ -121,7 +122,7 @@
         }
     }
 
-    /// How many tasks of this need may be started now.
+    /// Number of tasks of this need that may be started now.
     pub(crate) fn tasks(&self, workspace: Option<WorkspaceIndex>, need: &Resources) -> usize {
         let Some(account) = workspace.and_then(|index| self.accounts.get(index)) else { return usize::MAX };
         let free = account.free();
@@ -134,26 +135,26 @@
         cpu.min(memory).min(ratio(free.accelerators, need.accelerators))
     }
 
-    /// Counts tasks of this need as running.
+    /// Adds tasks of this need to the usage.
     pub(crate) fn take(&mut self, workspace: Option<WorkspaceIndex>, need: &Resources, tasks: usize) {
         if let Some(account) = workspace.and_then(|index| self.accounts.get_mut(index)) {
             account.used = account.used.saturating_add(&need.saturating_mul(tasks));
         }
     }
 
-    /// Counts a job as refused.
+    /// Counts a refused job.
     pub(crate) fn count_refusal(&mut self, workspace: &str) {
         let index = self.index(workspace);
         self.accounts[index].refused += 1;
     }
 
-    /// What runs and what may, for a workspace that has a limit: its use and the limit.
+    /// Usage and limit of a workspace; `None` if it has no limit.
     pub(crate) fn usage_and_limit(&self, workspace: WorkspaceIndex) -> Option<(Resources, Resources)> {
         let account = self.accounts.get(workspace)?;
         (account.limit != Resources::ZERO).then_some((account.used, account.limit))
     }
 
-    /// Why a job of a workspace can never run, if it can't.
+    /// Why a job of a workspace can never run within its limit; `None` if it can.
     pub(crate) fn excess(&self, workspace: &str, job: &Job) -> Option<Excess> {
         let limit = self.accounts.get(*self.indices.get(workspace)?)?.limit;
         let unused = Account { limit, ..Account::default() };
@@ -165,7 +166,7 @@
         job.steps.iter().enumerate().find_map(excess)
     }
 
-    /// The log tells of a run.
+    /// Replays the record of a run.
     pub(crate) fn replay_run(&mut self, task: Task, attempt: Attempt, worker: &str, charge: Charge) {
         let runs = self.replayed.entry(task).or_default();
         let run = (worker.to_owned(), InheritedRun { task, attempt, charge });
@@ -174,7 +175,8 @@
         }
     }
 
-    /// The log tells that a task is done: by its newest run, as far as is known.
+    /// Replays the record of a completed task. The newest known run of the task is taken to be the one that completed
+    /// it.
     pub(crate) fn replay_done(&mut self, task: Task) {
         if let Some(runs) = self.replayed.get_mut(&task) {
             let newest = runs.iter().map(|(_, run)| run.attempt).max();
@@ -182,21 +184,21 @@
         }
     }
 
-    /// The log tells that a run has failed.
+    /// Replays the record of a failed run.
     pub(crate) fn replay_failed(&mut self, task: Task, attempt: Attempt) {
         if let Some(runs) = self.replayed.get_mut(&task) {
             runs.retain(|(_, run)| run.attempt != attempt);
         }
     }
 
-    /// The log has been read: what it tells of counts until its workers have answered.
-    pub(crate) fn replayed(&mut self) {
+    /// Ends the replay: the runs in the log count until their workers have answered.
+    pub(crate) fn finish_replay(&mut self) {
         for (worker, run) in std::mem::take(&mut self.replayed).into_values().flatten() {
             self.inherited.entry(worker).or_default().push(run);
         }
     }
 
-    /// Records of what earlier leaders have placed of these jobs, for the next one.
+    /// Records of the runs of these jobs that earlier leaders ordered, for the next leader.
     pub(crate) fn leftovers<'a>(&'a self, ids: &'a BTreeSet<JobId>) -> impl Iterator<Item = (JobId, Record)> + 'a {
         let runs = self.inherited.iter().flat_map(|(worker, runs)| runs.iter().map(move |run| (worker, run)));
         let wanted = runs.filter(|(_, run)| ids.contains(&run.task.unit.job));
@@ -206,20 +208,21 @@
         })
     }
 
-    /// The record of a run that may go on without its task waiting for it.
+    /// The record of a run that may go on although its task doesn't wait for it.
     pub(crate) fn leftover(&self, worker: &str, task: Task, attempt: Attempt, charge: Charge) -> Option<Record> {
         let workspace = self.name(charge.workspace)?.clone();
         Some(Record::Leftover { task, attempt, worker: worker.to_owned(), workspace, need: charge.need })
     }
 
-    /// What an earlier leader placed on one life of a worker may run on the next one.
+    /// Transfers runs that earlier leaders ordered to the next incarnation of their worker, which may have started
+    /// them.
     pub(crate) fn hand_over(&mut self, id: &str, next: &str) {
         if let Some(runs) = self.inherited.remove(id) {
             self.inherited.entry(next.to_owned()).or_default().extend(runs);
         }
     }
 
-    /// Counts anew what is used.
+    /// Recomputes the usage of all workspaces.
     fn recount(&mut self, workers: &BTreeMap<WorkerId, Worker>, open: impl Fn(&WorkerId) -> bool) {
         self.inherited.retain(|worker, _| open(worker));
         self.accounts.iter_mut().for_each(|account| account.used = Resources::ZERO);
@@ -231,7 +234,8 @@
 }
 
 impl Engine {
-    /// Counts anew what each workspace uses, which costs little, rather than with each of the six changes that runs go through.
+    /// Recomputes the usage of all workspaces. That costs little and avoids updates at each of the six transitions of
+    /// a run.
     pub(crate) fn recount_quota(&mut self) {
         if self.quota.accounts.is_empty() {
             return;
@@ -241,14 +245,15 @@
         self.quota.recount(workers, open);
     }
 
-    /// Why a job of a workspace can never run within its limit, if it can't: it is refused.
+    /// Checks whether a job can ever run within its workspace's limit. If it can't, counts it as refused and returns
+    /// why.
     pub fn excess(&mut self, workspace: &str, job: &Job) -> Option<Excess> {
         let excess = self.quota.excess(workspace, job)?;
         self.quota.count_refusal(workspace);
         Some(excess)
     }
 
-    /// How all workspaces stand, by name.
+    /// All workspaces, by name.
     pub fn workspaces(&mut self) -> Vec<Workspace> {
         self.recount_quota();
         let summary = |account: &Account| Workspace {
@@ -270,7 +275,7 @@
         found
     }
 
-    /// Why the tasks of a step wait for their workspace's limit, if they do.
+    /// Why the tasks of a step wait for their workspace's limit; `None` if they don't.
     pub(crate) fn quota_wait_reason(&self, entry: &Entry, step: &Step, pending: usize) -> Option<String> {
         let workspace = entry.workspace?;
         let least = if step.gang { pending } else { 1 };
@@ -288,13 +293,13 @@
 }
 
 impl Entry {
-    /// What a task of a step takes of its workspace's limit.
+    /// What a task of a step counts against its workspace's limit.
     pub(crate) fn charge(&self, step: u16) -> Option<Charge> {
         Some(Charge { workspace: self.workspace?, need: self.step(step)?.need })
     }
 }
 
-/// Whether something that an earlier leader has placed on a worker may run there without being listed yet.
+/// Whether a run that an earlier leader ordered may be on a worker that hasn't listed it yet.
 pub(crate) fn may_run_unseen(
     workers: &BTreeMap<WorkerId, Worker>,
     departed: &BTreeSet<WorkerId>,
@@ -302,7 +307,7 @@
 ) -> bool {
     match workers.get(worker) {
         Some(known) => known.contact == Contact::Unknown,
-        // Of a worker that the log doesn't name nothing is known either, unless it is known to be gone.
+        // The log may lack a worker; its runs are unknown, too, unless it is known to have ended.
         None => !departed.contains(worker),
     }
 }
--- a/components/sched/src/rank.rs
+++ b/components/sched/src/rank.rs
@@ -1,4 +1,4 @@
-//! In which order units are served.
+//! The order in which units are scheduled.
 
 use std::time::Duration;
 
@@ -7,21 +7,21 @@
 use crate::engine::{Clock, Engine};
 use crate::entry::Entry;
 
-/// A job that ends after this many times its objective earns nothing more.
+/// A job has no value once it is late by this factor of its objective.
 const OVERDUE_FACTOR: u32 = 3;
 
-/// How much a job still earns by running now.
+/// The value of running a job now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Tier {
     /// It can meet its objective.
     OnTime,
-    /// It is late, but not too late to be of use.
+    /// It is late, but its result is still useful.
     Late,
-    /// Nobody waits for it any more; it is done on room that nobody else wants.
+    /// Its result has no value any more. It only runs on room that no other unit wants.
     Overdue,
 }
 
-/// A unit with tasks that wait for a place.
+/// A unit with pending tasks.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidate {
     pub unit: Unit,
@@ -36,7 +36,7 @@
 }
 
 impl Engine {
-    /// Units that could start tasks, the most urgent first.
+    /// Units with pending tasks whose dependencies are done, the most urgent first.
     pub(crate) fn candidates(&self, clock: Clock) -> Vec<Candidate> {
         let mut found = Vec::new();
         for id in &self.live {
@@ -54,7 +54,7 @@
         found
     }
 
-    /// Whether a job that waited so much longer would still be on time.
+    /// Whether a job would still meet its objective after waiting this much longer.
     pub(crate) fn can_wait(&self, clock: Clock, unit: Unit, time: Duration) -> bool {
         let Some(entry) = self.jobs.get(&unit.job) else { return false };
         let Some(queue) = self.queues.get(&entry.queue) else { return false };
@@ -62,7 +62,7 @@
         waited + remaining(entry, unit.round) + time <= objective(&entry.job, queue)
     }
 
-    /// When the time of a round began to count.
+    /// The time from which the duration of a round counts: its due time, or the acceptance of an unscheduled job.
     fn counted_since(&self, clock: Clock, entry: &Entry, round: u32) -> Duration {
         match entry.job.schedule {
             Some(_) => clock.now.saturating_sub(clock.wall.saturating_sub(entry.job.due(round))),
@@ -85,17 +85,17 @@
     }
 }
 
-/// How long a job of a queue should take at most.
+/// Target for the duration of a job in a queue.
 pub(crate) fn objective(job: &Job, queue: &Queue) -> Duration {
     stretched(chain(job), queue.stretch) + queue.objective
 }
 
-/// A time by a factor of the configuration; a factor that makes no sense counts as 1.
+/// Multiplies a duration by a factor from the configuration; an invalid factor counts as 1.
 fn stretched(time: Duration, factor: f64) -> Duration {
     Duration::try_from_secs_f64(time.as_secs_f64() * factor).unwrap_or(time)
 }
 
-/// The longest chain of steps, by the caller's estimates.
+/// Duration of the critical path, by the caller's estimates.
 fn chain(job: &Job) -> Duration {
     let mut ends: Vec<Duration> = Vec::new();
     for step in &job.steps {
@@ -105,7 +105,7 @@
     ends.into_iter().max().unwrap_or_default()
 }
 
-/// The longest chain of steps that aren't done yet.
+/// Duration of the critical path through the steps that aren't done yet.
 fn remaining(entry: &Entry, round: u32) -> Duration {
     let mut ends: Vec<Duration> = Vec::new();
     for (number, step) in entry.job.steps.iter().enumerate() {
--- a/components/sched/src/records.rs
+++ b/components/sched/src/records.rs
@@ -1,11 +1,11 @@
-//! Records that are owed to the log.
+//! Records that wait to be written to the log.
 
 use work::{JobId, Record};
 
 use crate::engine::{Clock, Engine};
 
 impl Engine {
-    /// Adds a record to the log. Returns its position.
+    /// Adds a record and returns its position.
     pub(crate) fn record(&mut self, record: Record) -> u64 {
         self.position += 1;
         self.records.push_back((self.position, record));
@@ -17,13 +17,13 @@
         self.position
     }
 
-    /// Whether records wait for the log.
+    /// Whether records wait to be written to the log.
     pub fn has_pending_records(&self) -> bool {
         !self.records.is_empty()
     }
 
-    /// Takes records of at most about `most` bytes for the log, with the position that is durable once they are
-    /// written. At least one, if there is one.
+    /// Takes records of about `most` bytes at most, but at least one if there is any. Returns them with the position
+    /// that is durable once they are written.
     pub fn take_records(&mut self, most: usize) -> (Vec<Record>, u64) {
         let mut weight = 0;
         let fits = |(_, record): &&(u64, Record)| {
@@ -36,15 +36,15 @@
         (taken, upto)
     }
 
-    /// Everything up to `position` is written at this time.
-    pub fn written(&mut self, clock: Clock, position: u64) {
+    /// Processes that all records up to `position` are durable.
+    pub fn mark_durable(&mut self, clock: Clock, position: u64) {
         self.durable = self.durable.max(position);
         let durable = self.durable;
         self.workers.values_mut().for_each(|worker| worker.acknowledge(durable));
         self.send_decided(clock);
     }
 
-    /// Takes back a job whose record wasn't given to the log yet. Whether it was.
+    /// Removes a job whose record wasn't handed to the log yet. Returns whether that was the case.
     pub fn withdraw(&mut self, id: JobId) -> bool {
         let waiting = |record: &(u64, Record)| matches!(&record.1, Record::Accepted { id: other, .. } if *other == id);
         if !self.records.iter().any(waiting) {
@@ -54,10 +54,10 @@
         true
     }
 
-    /// Forgets a job that isn't in the log, and never will be.
+    /// Removes a job that isn't in the log and never will be.
     pub fn retract(&mut self, id: JobId) {
         self.records.retain(|(_, record)| record.job() != Some(id) && record.placed_job() != Some(id));
-        // If the job comes again, its starts have the same numbers.
+        // If the job is submitted again, its starts get the same numbers.
         self.unsent_starts.retain(|(_, _, start)| start.task.unit.job != id);
         for worker in self.workers.values_mut() {
             worker.runs.retain(|(task, _), _| task.unit.job != id);
--- a/components/sched/src/reports.rs
+++ b/components/sched/src/reports.rs
@@ -1,4 +1,5 @@
-//! Reports of workers: adopts what runs, takes in ends, notices what is missing.
+//! Processes the reports of workers: adopts unknown runs, handles ended ones and releases those that have
+//! disappeared.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +12,7 @@
 use crate::worker::{Contact, End, MAX_CONSECUTIVE_FAILURES, Phase, Report, Run, RunOutcome, Running};
 
 impl Engine {
-    /// Takes in a worker's answer to a renewal under this reign's term. Whether it shows that the worker has started again.
+    /// Processes a worker's answer to a renewal in this term. Returns whether it shows that the worker has restarted.
     pub fn report(&mut self, clock: Clock, id: &str, report: Report) -> bool {
         let Some(worker) = self.workers.get_mut(id) else { return false };
         let last_heard = std::mem::replace(&mut worker.last_heard, clock.now);
@@ -22,7 +23,7 @@
         if first {
             self.stop_handed_over(id);
         }
-        let taken = self.taken(id);
+        let taken = self.last_processed_end(id);
         for end in report.ended.iter().filter(|end| end.number > taken) {
             self.ended(clock, id, end);
         }
@@ -33,7 +34,7 @@
         restarted
     }
 
-    /// Takes in an end; it may be acknowledged once the records that it led to are durable.
+    /// Processes the end of a run. It may be acknowledged once the records that result from it are durable.
     fn ended(&mut self, clock: Clock, id: &str, end: &End) {
         self.begin(end.task);
         if let Some(worker) = self.workers.get_mut(id) {
@@ -58,14 +59,14 @@
         }
     }
 
-    /// A task of the job has begun.
+    /// Records that a task of the job has started.
     pub(crate) fn begin(&mut self, task: Task) {
         if let Some(entry) = self.jobs.get_mut(&task.unit.job) {
             entry.begun = Begun::Yes;
         }
     }
 
-    /// Keeps the last checkpoint of a task, and of its gang if it is in one.
+    /// Stores the last checkpoint of a task, and of its gang if it belongs to one.
     fn save_checkpoint(&mut self, task: Task, saved: &str) {
         let gang = self.step(task).is_some_and(|step| step.gang);
         let Some(unit) = self.unit_mut(task.unit) else { return };
@@ -81,7 +82,8 @@
         self.jobs.get(&task.unit.job)?.step(task.unit.step)
     }
 
-    /// A run has done its task. A gang's tasks are all done with the first member that is; a lasting task never is.
+    /// Completes a task. The first member that completes its task completes the whole gang; a long-running task is
+    /// never done.
     fn done(&mut self, clock: Clock, id: &str, task: Task, attempt: Attempt) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.failures = 0;
@@ -98,7 +100,7 @@
         }
         let mut elsewhere = Vec::new();
         for index in unit.done_with(task.index, gang) {
-            // Another run of the task, perhaps on the same worker, is needless now.
+            // Another run of the task, perhaps on the same worker, is no longer needed.
             if let entry::Phase::Held(worker, other) = &unit.tasks[index].phase
                 && (*other != attempt || (!gang && worker != id))
             {
@@ -112,7 +114,7 @@
         self.complete_if_done(clock, task.unit.job);
     }
 
-    /// Ends a job all of whose tasks are done.
+    /// Ends a job if all of its tasks are done.
     pub(crate) fn complete_if_done(&mut self, clock: Clock, id: work::JobId) {
         let complete = self.jobs.get(&id).is_some_and(|entry| entry.outcome.is_none() && entry.is_complete());
         if complete {
@@ -125,11 +127,11 @@
         self.count_failure(clock, id);
         let Some(entry) = self.jobs.get(&task.unit.job) else { return };
         let Some(step) = entry.step(task.unit.step) else { return };
-        let (gang, lasting, ended) = (step.gang, step.long_running, entry.outcome.is_some());
+        let (gang, long_running, ended) = (step.gang, step.long_running, entry.outcome.is_some());
         let most = self.queues.get(&entry.queue).map_or(u32::MAX, |queue| queue.max_attempts);
         let Some(unit) = self.unit_mut(task.unit) else { return };
         let Some(state) = unit.tasks.get(task.index as usize) else { return };
-        if lasting || ended || state.phase == entry::Phase::Done {
+        if long_running || ended || state.phase == entry::Phase::Done {
             return;
         }
         let Some(failed) = unit.failures_mut(task.index, gang) else { return };
@@ -144,7 +146,7 @@
         }
     }
 
-    /// Avoids a worker on which several runs in a row have failed.
+    /// Counts a failure of a worker, which is avoided after several in a row.
     fn count_failure(&mut self, clock: Clock, id: &str) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         worker.failures += 1;
@@ -153,7 +155,7 @@
         }
     }
 
-    /// Takes in a run that a worker lists, known or not.
+    /// Processes a run that a worker lists, whether it is known or not.
     fn running(&mut self, clock: Clock, id: &str, row: &Running) {
         self.begin(row.task);
         let Some(worker) = self.workers.get_mut(id) else { return };
@@ -173,9 +175,9 @@
         }
     }
 
-    /// Takes over a run that another leader started, or stops it where its task needs none.
+    /// Adopts a run that another leader started, or stops it if its task isn't pending.
     fn adopt(&mut self, clock: Clock, id: &str, row: &Running) {
-        // What is left of an ended job may take any room: nothing else is placed there until it is gone.
+        // A run of an ended job may use any amount of room: nothing else is placed on the worker until it has ended.
         let free = self.workers.get(id).map_or(Resources::ZERO, |worker| worker.free);
         let need = self.step(row.task).map_or(free, taken_room);
         let wanted = self.jobs.get(&row.task.unit.job).is_some_and(|entry| entry.outcome.is_none())
@@ -214,13 +216,13 @@
         }
     }
 
-    /// What a run takes of its workspace's limit; `need` where its job is known only by its end.
+    /// What a run counts against its workspace's limit; `need` if only the end of its job is known.
     fn charge(&self, task: Task, need: Resources) -> Option<Charge> {
         let entry = self.jobs.get(&task.unit.job)?;
         entry.charge(task.unit.step).or_else(|| Some(Charge { workspace: entry.workspace?, need }))
     }
 
-    /// Releases runs that must have shown in this report and don't.
+    /// Releases runs that must be reflected in this report and aren't listed.
     fn release_unlisted(&mut self, clock: Clock, id: &str, report: &Report) {
         let shown: BTreeSet<(Task, Attempt)> = report.running.iter().map(|row| (row.task, row.attempt)).collect();
         let Some(worker) = self.workers.get(id) else { return };
@@ -233,7 +235,7 @@
         lost.into_iter().for_each(|(task, attempt)| self.release(clock, id, task, attempt));
     }
 
-    /// Stops what is left of gangs that lost a member.
+    /// Stops the remaining members of gangs that lost a member.
     pub(crate) fn stop_broken_gangs(&mut self) {
         let mut broken = Vec::new();
         for id in &self.live {
@@ -252,7 +254,7 @@
     }
 }
 
-/// What a task of a step takes of its worker's room.
+/// Room that a task of a step takes on its worker.
 pub(crate) fn taken_room(step: &Step) -> Resources {
     match step.best_effort_cpu {
         true => Resources { cpu_milli: 0, ..step.need },
@@ -260,7 +262,7 @@
     }
 }
 
-/// Whether a report shows a run in this phase for certain, if its renewal was sent at `mark`.
+/// Whether a run in this phase is certain to be reflected in a report whose renewal was sent at `mark`.
 pub(crate) fn must_show(phase: Phase, mark: u64) -> bool {
     match phase {
         Phase::Running(settled) | Phase::Stopped(settled) => settled <= mark,
--- a/components/sched/src/restart.rs
+++ b/components/sched/src/restart.rs
@@ -1,7 +1,8 @@
-//! Workers that have started again under their id.
+//! Detects workers that have restarted under the same id.
 //!
-//! A worker lists what runs there and, until that is acknowledged, what has ended. A run that had begun and is in neither list went with
-//! the life that ran it. Nothing else need show that: the worker may be back before its leases have run out.
+//! A worker reports its running runs and, until they are acknowledged, its ended ones. A run that had started and is
+//! in neither list was lost with an earlier incarnation of the worker. Nothing else may reveal the restart, since the
+//! worker can be back before its leases expire.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -14,8 +15,9 @@
 use crate::worker::{Report, Run, Worker};
 
 impl Engine {
-    /// Looks whether a worker, last heard at this time, has started again, and tells whether it has: that is the end of a worker like any
-    /// other. `left` was there when its leases ran out: it shows as ended, or went with an earlier life, too.
+    /// Checks whether a worker has restarted since `last_heard`, and if so, records that as a worker's end. `left`
+    /// holds the runs that were there when its leases expired: each is either reported as ended or was lost with an
+    /// earlier incarnation.
     pub(crate) fn look_for_restart(
         &mut self,
         clock: Clock,
@@ -54,7 +56,7 @@
 }
 
 impl Worker {
-    /// Runs that had begun, must show in a report of this mark, and aren't listed there.
+    /// Runs that had started, must be reflected in a report with this mark, and aren't listed there.
     fn vanished(&self, listed: &BTreeSet<(Task, Attempt)>, mark: u64) -> BTreeSet<(Task, Attempt)> {
         let went = |(key, run): &(&(Task, Attempt), &Run)| {
             run.begun.is_some() && must_show(run.phase, mark) && !listed.contains(*key)
@@ -62,12 +64,13 @@
         self.runs.iter().filter(went).map(|(key, _)| *key).collect()
     }
 
-    /// Whether a run that is still held has ended under a number that was taken in before: in one life numbers only rise.
+    /// Whether a run that is still held is reported as ended under a number that was already processed. Within one
+    /// incarnation the numbers only rise.
     fn has_repeated_end_number(&self, report: &Report) -> bool {
         report.ended.iter().any(|end| end.number <= self.taken && self.runs.contains_key(&(end.task, end.attempt)))
     }
 
-    /// Forgets what doesn't hold for a next life: the numbers of its ends begin again, and it has neither failed nor left anything unanswered.
+    /// Resets what holds only for one incarnation: the numbers of ends, failures and unanswered starts.
     fn reset_for_new_incarnation(&mut self) {
         self.taken = 0;
         self.acked = 0;
--- a/components/sched/src/restore.rs
+++ b/components/sched/src/restore.rs
@@ -1,4 +1,5 @@
-//! Rebuilds the book from the log, and writes a job anew when its part of the log is removed.
+//! Rebuilds the scheduler's state from the log, and rewrites the records of a job whose part of the log is about to
+//! be removed.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -14,7 +15,7 @@
 use crate::worker::{Worker, WorkerInfo};
 
 impl Engine {
-    /// Replays a record that an earlier leader, or an earlier part of this reign, has written.
+    /// Replays a record that an earlier leader, or this one earlier in its term, has written.
     pub fn replay(&mut self, clock: Clock, record: Record) {
         match record {
             Record::Accepted { id, queue, workspace, at, job } => {
@@ -47,17 +48,19 @@
         }
     }
 
-    /// Ends jobs that the log shows as done without a record of their end.
-    pub fn replayed(&mut self, clock: Clock) {
+    /// Ends the replay. Ends jobs whose tasks are all done, or whose attempts are used up, but whose end wasn't
+    /// recorded.
+    pub fn finish_replay(&mut self, clock: Clock) {
         self.fail_exhausted(clock);
         let ids: Vec<JobId> = self.live.iter().copied().collect();
         ids.into_iter().for_each(|id| self.complete_if_done(clock, id));
-        self.quota.replayed();
+        self.quota.finish_replay();
         self.inherit_runs();
     }
 
-    /// What earlier leaders have placed on a worker counts against its task if the worker turns out to have ended: not the last placement
-    /// only, since a task may have been on several workers that are still silent.
+    /// Makes the runs that earlier leaders ordered count as lost if their workers turn out to have ended. All
+    /// placements are included, not only the last one of each task, since a task may have been on several workers
+    /// that are still silent.
     fn inherit_runs(&mut self) {
         for (task, run) in self.inherited_runs().into_iter().chain(self.take_placed_before()) {
             let Some(worker) = self.workers.get_mut(&run.worker) else { continue };
@@ -67,7 +70,7 @@
         }
     }
 
-    /// Placements before the last one, but for those whose runs have failed.
+    /// Takes the placements before the last one, except those whose runs have failed.
     fn take_placed_before(&mut self) -> Vec<(Task, Inherited)> {
         let mut found = Vec::new();
         for id in self.live.iter().copied() {
@@ -85,7 +88,7 @@
         found
     }
 
-    /// Tasks of open jobs that an earlier leader placed, each with its run.
+    /// Tasks of unfinished jobs that earlier leaders placed, each with its last run.
     pub(crate) fn inherited_runs(&self) -> Vec<(Task, Inherited)> {
         let mut found = Vec::new();
         for (job, entry) in self.live.iter().filter_map(|id| Some((*id, self.jobs.get(id)?))) {
@@ -100,13 +103,13 @@
         found
     }
 
-    /// Ends jobs that have used up their attempts.
+    /// Fails the jobs that have used up their attempts.
     pub(crate) fn fail_exhausted(&mut self, clock: Clock) {
         let ids: Vec<JobId> = self.live.iter().copied().filter(|id| self.is_exhausted(*id)).collect();
         self.fail_jobs(clock, ids);
     }
 
-    /// Whether a task, or a gang, of a job has used up its attempts, or a task takes its workers down.
+    /// Whether a task or gang of a job has used up its attempts, or a task repeatedly crashes its workers.
     fn is_exhausted(&self, id: JobId) -> bool {
         let Some(entry) = self.jobs.get(&id) else { return false };
         let mut tasks = entry.units.values().flat_map(|unit| &unit.tasks);
@@ -116,10 +119,10 @@
         let Some(queue) = self.queues.get(&entry.queue) else { return false };
         let most = queue.max_attempts as usize;
         let exhausted = |((_, step), unit): (&(u32, u16), &UnitState)| {
-            let lasting = entry.step(*step).is_some_and(|step| step.long_running);
+            let long_running = entry.step(*step).is_some_and(|step| step.long_running);
             let task_exhausted = |task: &TaskState| task.phase != Phase::Done && task.failed.len() >= most;
             let gang_exhausted = !unit.is_complete() && unit.failed.len() >= most;
-            !lasting && (gang_exhausted || unit.tasks.iter().any(task_exhausted))
+            !long_running && (gang_exhausted || unit.tasks.iter().any(task_exhausted))
         };
         entry.units.iter().any(exhausted)
     }
@@ -128,7 +131,7 @@
         if self.jobs.contains_key(&id) {
             return;
         }
-        // Ages count from acceptance; the steady clock of this process may be younger than the job.
+        // The age of a job counts from its acceptance, which may precede the start of this process.
         let age = clock.wall.saturating_sub(at);
         let accepted = Accepted { now: clock.now.saturating_sub(age), wall: at, position: 0 };
         self.insert(id, owner, Arc::new(job), accepted);
@@ -139,7 +142,7 @@
         }
     }
 
-    /// The state of a unit that the log names: a round that a record names was open, and its job had begun, or was about to.
+    /// The state of a unit that a record names. Its round has been opened, and its job has started or was about to.
     fn replay_unit(&mut self, unit: Unit, begun: Begun) -> Option<&mut UnitState> {
         let entry = self.jobs.get_mut(&unit.job)?;
         while entry.opened <= unit.round && entry.opened < entry.job.rounds() {
@@ -189,7 +192,7 @@
 
     fn replay_end(&mut self, clock: Clock, id: JobId, outcome: Outcome, workspace: Option<WorkspaceName>) {
         if !self.jobs.contains_key(&id) {
-            // The part that held the job is gone; callers may still ask how it ended.
+            // The part of the log with the job was removed; callers may still ask how the job ended.
             let accepted = Accepted { now: clock.now, wall: clock.wall, position: 0 };
             let job = work::Job { specification: String::new(), steps: Vec::new(), schedule: None };
             self.insert(id, Owner { workspace, ..Owner::default() }, Arc::new(job), accepted);
@@ -201,18 +204,21 @@
         self.live.remove(&id);
     }
 
-    /// Everything that must be kept of jobs, as new records: of an ended one, only how it ended. Nothing for a job that is no longer kept.
+    /// Writes all records that must be kept of these jobs anew; of an ended job only its end, of an unknown one
+    /// nothing.
     pub fn rewrite(&mut self, ids: impl IntoIterator<Item = JobId>) {
         let ids: BTreeSet<JobId> = ids.into_iter().collect();
         let mut left = self.outstanding_records(&ids);
         ids.into_iter().for_each(|id| self.rewrite_job(id, left.remove(&id).unwrap_or_default()));
     }
 
-    /// The same for one job, of which `left` may still be on workers besides the runs that its tasks wait for.
+    /// Rewrites the records of one job. `left` are the records of runs that may still be on workers although no task
+    /// is held by them.
     fn rewrite_job(&mut self, id: JobId, left: Vec<Record>) {
         let workspace = self.workspace(id).cloned();
         let Some(entry) = self.jobs.get(&id) else { return };
-        // Behind the record of a task that is done: that one would be taken for the end of its leftover.
+        // Leftovers must follow the records of completed tasks, which replay would otherwise take for the end of the
+        // leftover run.
         let (leftovers, placed): (Vec<_>, Vec<_>) =
             left.into_iter().partition(|record| matches!(record, Record::Leftover { .. }));
         let mut records = match entry.outcome {
@@ -223,8 +229,9 @@
         records.into_iter().for_each(|record| self.record_rewritten(record));
     }
 
-    /// What may be on workers besides the runs that tasks of these jobs wait for, by job. Placements on workers whose leases have run out and whose end
-    /// isn't known yet would count against no task once these records were gone, and leftovers against no limit.
+    /// Records of runs of these jobs that may be on workers although no task is held by them, by job. Without them,
+    /// placements on workers whose leases have expired and whose end isn't known yet would count against no task, and
+    /// leftovers against no limit.
     fn outstanding_records(&self, ids: &BTreeSet<JobId>) -> HashMap<JobId, Vec<Record>> {
         let mut found: HashMap<JobId, Vec<Record>> = HashMap::new();
         for (id, worker) in &self.workers {
@@ -244,7 +251,7 @@
         found
     }
 
-    /// Whether a task of a job that goes on waits for this run.
+    /// Whether a task of an unfinished job is held by this run.
     fn is_held(&self, task: Task, worker: &str, attempt: Attempt) -> bool {
         let live = self.live.contains(&task.unit.job);
         let state = self.unit(task.unit).and_then(|unit| unit.tasks.get(task.index as usize));
@@ -256,7 +263,7 @@
         self.record(Record::Rewritten(Box::new(record)));
     }
 
-    /// Names these workers anew in the log, but for those that are gone.
+    /// Writes the records of these workers anew, except for those that have ended.
     pub fn rewrite_workers(&mut self, ids: impl IntoIterator<Item = WorkerId>) {
         for id in ids {
             let Some(worker) = self.workers.get(&id) else { continue };
@@ -266,7 +273,7 @@
     }
 }
 
-/// Records from which a job that goes on is rebuilt; it was `placed` on workers whose end isn't known, too.
+/// The records that rebuild an unfinished job. `placed` are its runs on workers whose end isn't known.
 fn live_records(id: JobId, entry: &Entry, workspace: Option<WorkspaceName>, placed: Vec<Record>) -> Vec<Record> {
     let accepted = Record::Accepted {
         id,
@@ -281,7 +288,7 @@
     [accepted].into_iter().chain(placed).chain(entry.units.iter().flat_map(unit)).collect()
 }
 
-/// Records from which a unit is rebuilt.
+/// The records that rebuild a unit.
 fn unit_records(name: Unit, unit: &UnitState) -> Vec<Record> {
     let mut records = Vec::new();
     for (index, task) in unit.tasks.iter().enumerate() {
@@ -308,7 +315,7 @@
     records
 }
 
-/// A worker that the log names and the list doesn't: it is renewed, but gets no work.
+/// Info of a worker that the log names and the platform's list doesn't: its leases are renewed, but it gets no work.
 pub(crate) fn unlisted_info() -> WorkerInfo {
     WorkerInfo {
         address: String::new(),
--- a/components/sched/src/room.rs
+++ b/components/sched/src/room.rs
@@ -1,4 +1,4 @@
-//! Room on workers as one pass sees it, and the choice of places for the waiting tasks of a unit.
+//! Free room on workers during one scheduling pass, and the choice of workers for the pending tasks of a unit.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use crate::reports::taken_room;
 use crate::worker::{Health, Pauses, Worker, WorkerInfo};
 
-/// Most tasks of one need that are counted at one place: beyond any worker's size.
+/// Upper bound on the tasks that are counted for one worker: more than fit on any.
 const MAX_SLOTS: u32 = 1000;
 
 /// A worker that may get new work, with the room that is left in this pass.
@@ -20,16 +20,16 @@
 pub(crate) struct Place {
     pub id: WorkerId,
     pub info: Arc<WorkerInfo>,
-    /// Room that anybody may take.
+    /// Room that any unit may use.
     pub free: Resources,
-    /// The same together with what is claimed.
+    /// The same, including reserved room.
     open: Resources,
-    /// Room that is kept for units, there or still to come free.
+    /// Room that is reserved for units, whether it is free already or becomes free later.
     claimed: Resources,
     pub health: Health,
-    /// Runs that it hasn't listed yet.
+    /// Number of runs that it hasn't listed yet after their startup window.
     new_runs: u32,
-    /// All its runs.
+    /// Number of all its runs.
     runs: usize,
 }
 
@@ -37,25 +37,25 @@
 #[derive(Debug, Default)]
 pub(crate) struct Room {
     pub places: Vec<Place>,
-    /// Where each worker stands in `places`.
+    /// Index of each worker in `places`.
     index: HashMap<WorkerId, usize>,
-    /// In each dimension, the most that a place has left, or more.
+    /// An upper bound on the room of any place, in each dimension.
     largest: Resources,
     /// Cores of each pool; see [`Room::count_cores`].
     cores: Vec<(String, Cores)>,
 }
 
-/// Thousandths of cores of a pool.
+/// Cores of a pool, in thousandths.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Cores {
     pub free: u64,
     pub all: u64,
 }
 
-/// One task's place: its index in the unit, and the place's index in the room.
+/// A placement of one task: the task's index in the unit and the worker's index in [`Room::places`].
 pub(crate) type Choice = (usize, usize);
 
-/// What places are compared by; the least is taken.
+/// Sort key of places; the lowest is preferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Cost {
     health: Health,
@@ -64,7 +64,8 @@
     left_cpu: u32,
 }
 
-/// What a worker has to offer: nothing while it is tried with one task, or a task is tried there that may take it down.
+/// What a worker has to offer. That is nothing while it is on probation with a run, or while a suspect task is tried
+/// there.
 fn offer(worker: &Worker, now: Duration, pauses: Pauses) -> Option<(Resources, Health)> {
     let health = worker.health(now, pauses);
     let tried = health == Health::Probation && !worker.runs.is_empty();
@@ -79,19 +80,19 @@
         Some(Place { id: id.clone(), info, free, open: free, claimed: Resources::ZERO, health, new_runs, runs })
     }
 
-    /// Sets how much room there is, of which nothing is claimed.
+    /// Sets the room of the place and drops all reservations.
     fn set_open(&mut self, open: Resources) {
         self.open = open;
         self.claimed = Resources::ZERO;
         self.free = open;
     }
 
-    /// Room that nobody has claimed, once `ending` runs have ended.
+    /// Room that isn't reserved, once the runs that use `ending` have ended.
     pub(crate) fn free_after(&self, ending: &Resources) -> Resources {
         self.open.saturating_add(ending).saturating_sub(&self.claimed)
     }
 
-    /// Tasks of this need that fit into `free`.
+    /// Number of tasks of this need that fit into `free`.
     fn slots(&self, free: &Resources, need: &Resources) -> usize {
         let ratio = |free: u32, need: u32| free.checked_div(need).unwrap_or(u32::MAX);
         let cpu = ratio(free.cpu_milli, need.cpu_milli);
@@ -101,15 +102,16 @@
         cpu.min(memory).min(accelerators).min(most) as usize
     }
 
-    /// Waiting tasks of a unit that could start here at the moment, by room and by what its step allows. Without the
-    /// step's limit a worker, the adviser would be asked for ever about workers that hold as many as they may, and about nobody else.
+    /// Number of tasks of a unit that could start here now, by room and by the step's limit of tasks per worker.
+    /// Without that limit the adviser would be asked forever about workers that are at the limit, and about no
+    /// others.
     pub(crate) fn tasks(&self, state: &UnitState, step: &Step) -> usize {
         self.tasks_in(&self.free, state, step)
     }
 
-    /// The same if so much room were free.
+    /// The same if `free` were the free room.
     pub(crate) fn tasks_in(&self, free: &Resources, state: &UnitState, step: &Step) -> usize {
-        // One member that fails breaks a whole gang.
+        // One failing member breaks a whole gang.
         if step.gang && self.health == Health::Probation {
             return 0;
         }
@@ -120,7 +122,7 @@
         }
     }
 
-    /// Whether the worker is of the right pool and has the label.
+    /// Whether the worker is in the queue's pool and has the step's label.
     pub(crate) fn suits(&self, queue: &Queue, step: &Step) -> bool {
         self.info.pool == queue.pool && (step.label.is_empty() || self.info.labels.contains(&step.label))
     }
@@ -132,7 +134,7 @@
 }
 
 impl Room {
-    /// The room on `workers`, which are usable and in the order of their names.
+    /// The room on `workers`, which are usable and sorted by name.
     pub(crate) fn new<'a>(
         workers: impl Iterator<Item = (&'a WorkerId, &'a Worker)>,
         now: Duration,
@@ -145,7 +147,7 @@
         room
     }
 
-    /// Brings the room up to date. Whether it could: not when other workers are usable now.
+    /// Updates the room. Returns false if the set of usable workers has changed, which requires a new `Room`.
     pub(crate) fn refresh<'a>(
         &mut self,
         workers: impl Iterator<Item = (&'a WorkerId, &'a Worker)>,
@@ -171,7 +173,7 @@
         true
     }
 
-    /// Takes avoided places out of the choice, unless most are: then the trouble isn't theirs.
+    /// Excludes avoided workers, unless most are avoided: then the cause isn't the workers.
     fn finish(&mut self) {
         let avoided = self.places.iter().filter(|place| place.health == Health::Avoided).count();
         if avoided * 2 < self.places.len() {
@@ -181,7 +183,7 @@
         self.measure();
     }
 
-    /// Finds the most that any place has left.
+    /// Updates the upper bound on the room of any place.
     fn measure(&mut self) {
         let most = |of: fn(&Resources) -> u32| self.places.iter().map(|place| of(&place.free)).max().unwrap_or(0);
         self.largest = Resources {
@@ -191,12 +193,13 @@
         };
     }
 
-    /// Whether one task of this need could fit anywhere. Cheap, and sometimes yes where the answer is no.
+    /// Whether one task of this need could fit anywhere. A cheap check that may return true although the task fits
+    /// nowhere.
     pub(crate) fn may_fit(&self, need: &Resources) -> bool {
         need.fits_in(&self.largest)
     }
 
-    /// Counts the cores of each pool, once a pass: what starts later in it is taken off.
+    /// Counts the cores of each pool, once per pass; cores that are taken later in the pass are subtracted.
     pub(crate) fn count_cores(&mut self) {
         self.cores.clear();
         for place in &self.places {
@@ -211,7 +214,6 @@
         }
     }
 
-    /// The cores of a pool.
     pub(crate) fn cores(&self, pool: &str) -> Cores {
         self.cores.iter().find(|(name, _)| name == pool).map_or(Cores::default(), |(_, cores)| *cores)
     }
@@ -221,7 +223,7 @@
         self.index.get(worker).map(|index| &self.places[*index])
     }
 
-    /// Takes the room of a task at each chosen place.
+    /// Takes the room of one task at each chosen place.
     pub(crate) fn take(&mut self, choices: &[Choice], need: &Resources) {
         for (_, place) in choices {
             let place = &mut self.places[*place];
@@ -239,14 +241,14 @@
         self.measure();
     }
 
-    /// Lets nothing more begin at a place in this pass.
+    /// Prevents further starts on a worker in this pass.
     pub(crate) fn close(&mut self, place: usize) {
         self.places[place].set_open(Resources::ZERO);
         self.measure();
     }
 
-    /// Chooses places for the waiting tasks of a unit: for as many as there are, or for a whole gang or none of it. A start reaches its
-    /// worker by `reached`.
+    /// Chooses workers for the pending tasks of a unit: for as many tasks as possible, or for all tasks of a gang or
+    /// none. A start that is decided now is expected to arrive at `start_arrival`.
     pub(crate) fn choose(
         &self,
         now: Duration,
@@ -278,8 +280,8 @@
         choices
     }
 
-    /// Places for tasks of which some may take their workers down: for these where nothing has just begun and least is lost, for the
-    /// others elsewhere if they can.
+    /// Chooses workers for a unit with suspects. Suspects go to workers with the fewest new runs and the fewest runs,
+    /// and other tasks to other workers if possible.
     fn fill_isolated(
         &self,
         now: Duration,
@@ -298,7 +300,7 @@
         let (tried, elsewhere): (Vec<usize>, Vec<usize>) =
             allowed.into_iter().partition(|index| choices.iter().any(|(_, place)| place == index));
         choices.extend(self.fill(&others, elsewhere, state, step, need));
-        // Else a gang that needs all workers would never run.
+        // Otherwise a gang that needs all workers would never run.
         let left: Vec<usize> =
             others.into_iter().filter(|task| choices.iter().all(|(other, _)| other != task)).collect();
         let mut left = left.into_iter();
@@ -310,12 +312,12 @@
         choices
     }
 
-    /// Keeps room for tasks of this need on workers.
+    /// Reserves room for tasks of this need.
     pub(crate) fn claim(&mut self, claims: &[Claim], need: &Resources) {
         self.change_claims(claims, |claimed, tasks| claimed.saturating_add(&need.saturating_mul(tasks)));
     }
 
-    /// Gives back what [`Room::claim`] has kept.
+    /// Reverts [`Room::claim`].
     pub(crate) fn unclaim(&mut self, claims: &[Claim], need: &Resources) {
         self.change_claims(claims, |claimed, tasks| claimed.saturating_sub(&need.saturating_mul(tasks)));
     }
@@ -329,7 +331,7 @@
         }
     }
 
-    /// Places where a task of the unit may start now.
+    /// Workers on which a task of the unit may start now.
     fn allowed(&self, now: Duration, state: &UnitState, step: &Step, queue: &Queue) -> Vec<usize> {
         let fits = |index: &usize| {
             let place = &self.places[*index];
@@ -341,7 +343,7 @@
         }
     }
 
-    /// Places for all tasks in one rack, if any has room for them.
+    /// Places all tasks in one rack, if any rack has room for them.
     fn fill_rack(
         &self,
         pending: &[usize],
@@ -358,7 +360,7 @@
         })
     }
 
-    /// Fills the cheapest place first, then the next: all tasks of a unit are alike.
+    /// Fills the cheapest worker first, then the next: all tasks of a unit have the same need.
     fn fill(
         &self,
         pending: &[usize],
@@ -371,7 +373,7 @@
         self.fill_in_order(pending, allowed, state, step)
     }
 
-    /// Fills the first place, then the next.
+    /// Fills the first worker, then the next.
     fn fill_in_order(&self, pending: &[usize], places: Vec<usize>, state: &UnitState, step: &Step) -> Vec<Choice> {
         let mut tasks = pending.iter().copied();
         let mut choices = Vec::new();
@@ -395,8 +397,8 @@
     state.tasks.iter().filter(there).count() as u32
 }
 
-/// Near its data first; then the fullest worker that has room, so that large tasks find whole ones. Accelerators, which are scarcer, count
-/// before cores.
+/// Prefers workers close to the step's data, then the fullest one that has room, so that large tasks find empty
+/// workers. Accelerators count before cores because they are scarcer.
 fn cost(place: &Place, step: &Step, need: &Resources) -> Cost {
     let left = place.free.saturating_sub(need);
     Cost {
--- a/components/sched/src/stall.rs
+++ b/components/sched/src/stall.rs
@@ -1,7 +1,7 @@
-//! Jobs that have nothing running although there is room: what keeps them from going on.
+//! Detects jobs that have no runs although there is room, and reports what they wait for.
 //!
-//! A job that is held back by a belief that never resolves leaves no trace but its wait, and `job why` answers only while the leader that
-//! holds the belief still leads.
+//! A job that waits for something that will never happen leaves no other trace, and `job why` can explain it only
+//! while the leader that waits still leads.
 
 use std::time::Duration;
 
@@ -11,34 +11,35 @@
 use crate::entry::Entry;
 use crate::reports::taken_room;
 
-/// A job may have nothing running for this long, between two steps or while a question is asked, before it is reported.
+/// How long a job may have no runs, for example between two steps or while a question is answered, before it is
+/// reported.
 const STALL_AFTER: Duration = Duration::from_secs(3);
-/// Most jobs that one look explains: explaining one takes a look at all workers.
+/// Maximum number of jobs that are explained at once: explaining one takes a look at all workers.
 const MAX_EXPLAINED: usize = 8;
 
-/// Most runs that a report names: a step may have hundreds.
+/// Maximum number of runs that are named in a report: a step may have hundreds.
 const MAX_NAMED: usize = 5;
 
-/// A job that has nothing running although there is room.
+/// A job that has no runs although there is room.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Stall {
-    /// The first of its units that isn't done and waits for no other.
+    /// The first of its units that isn't done and whose dependencies are.
     pub unit: Unit,
-    /// For how long nothing of the job has run.
+    /// For how long the job has had no runs.
     pub lasted: Duration,
-    /// Tasks of the unit that wait for a place.
+    /// Number of tasks of the unit that wait for a worker.
     pub waiting: usize,
-    /// Runs of the unit that were ordered and that no worker lists.
+    /// Number of runs of the unit that were ordered and that no worker lists.
     pub unlisted: usize,
     /// The first few of them, as `TASK on WORKER`.
     pub named: Vec<String>,
-    /// Why tasks wait; empty where none does.
+    /// Why tasks wait; empty if none does.
     pub why: String,
 }
 
 impl Engine {
-    /// Jobs that have had nothing running for a while although a task of theirs could find room, each reported once until it runs again. A
-    /// job whose tasks are placed but not listed by their workers counts, too.
+    /// Jobs that have had no runs for [`STALL_AFTER`] although one of their tasks could find room. Each is reported
+    /// once until it runs again. Runs that their workers don't list don't count as runs.
     pub fn stalls(&mut self, clock: Clock) -> Vec<Stall> {
         let idle: Vec<JobId> = self.live.iter().copied().filter(|id| self.is_job_idle(*id)).collect();
         self.idle_since.retain(|id, _| idle.binary_search(id).is_ok());
@@ -53,7 +54,7 @@
         due.into_iter().filter_map(|(id, lasted)| self.report_stall(clock, id, lasted)).collect()
     }
 
-    /// Whether a job could go on and no worker lists a run of it.
+    /// Whether a job could continue and no worker lists a run of it.
     fn is_job_idle(&self, id: JobId) -> bool {
         let Some(entry) = self.jobs.get(&id).filter(|entry| entry.accepted.position <= self.durable) else {
             return false;
@@ -86,20 +87,20 @@
         Some(stall)
     }
 
-    /// Jobs that were reported and still have nothing running.
+    /// Number of jobs that were reported and still have no runs.
     pub fn stalled_count(&self) -> usize {
         self.idle_since.values().filter(|idle| idle.reported).count()
     }
 }
 
-/// Since when nothing of a job has run.
+/// Since when a job has had no runs.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Idle {
     since: Duration,
     reported: bool,
 }
 
-/// The first unit of a job that isn't done and waits for no other.
+/// The first unit of a job that isn't done and whose dependencies are.
 fn first_open(id: JobId, entry: &Entry) -> Option<Unit> {
     let open = entry.units.iter().find(|((round, step), unit)| !unit.is_complete() && entry.unblocked(*round, *step));
     open.map(|((round, step), _)| Unit { job: id, round: *round, step: *step })
--- a/components/sched/src/worker_list.rs
+++ b/components/sched/src/worker_list.rs
@@ -1,7 +1,7 @@
-//! The platform's list of workers, and what becomes of a worker's life when it is over.
+//! Handles updates of the platform's list of workers, and the end of workers.
 //!
-//! A worker that starts again may keep its name, and its entry may be late: the next life may be known from its own answer before the list
-//! shows it, and the list may show a former one for a while. Orders name the worker, not its life.
+//! A restarted worker may keep its name, and the list may lag behind: the next incarnation may answer before the list
+//! shows it, and the list may still show an earlier one for a while. Orders name the worker, not its incarnation.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,20 +13,20 @@
 use crate::restore::unlisted_info;
 use crate::worker::{Worker, WorkerInfo};
 
-/// What an entry says of the workers that are known.
+/// How an entry of the list relates to the known workers.
 enum ListEntry {
-    /// It is that of a life that isn't known yet.
+    /// It shows an unknown incarnation.
     New,
-    /// It is that of this life.
+    /// It shows this known incarnation.
     Known(WorkerId),
-    /// It is older than what is known of this life, and changes nothing.
+    /// It is older than this known incarnation, and is ignored.
     Stale(WorkerId),
-    /// It tells when this life was born, which wasn't known.
+    /// It shows when this known incarnation was born, which was unknown so far.
     BirthLearnt(WorkerId),
 }
 
 impl Engine {
-    /// Takes the platform's list of workers.
+    /// Processes an update of the platform's list of workers.
     pub fn update_workers(&mut self, clock: Clock, listed: BTreeMap<WorkerId, WorkerInfo>) {
         self.superseded.retain(|id| listed.contains_key(id));
         let mut present = BTreeMap::new();
@@ -44,7 +44,7 @@
         self.take_list(clock, present);
     }
 
-    /// What an entry under this id says of the workers that are known.
+    /// How the entry with this id relates to the known workers.
     fn classify_entry(&self, id: &str) -> ListEntry {
         let Some(known) = self.latest_incarnation(id) else { return ListEntry::New };
         match (WorkerIncarnation::from_id(id).born, WorkerIncarnation::from_id(&known).born) {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The newest known life of the worker that an id names.
+    /// The latest known incarnation of the worker with this id.
     pub(crate) fn latest_incarnation(&self, id: &str) -> Option<WorkerId> {
         let name = WorkerIncarnation::from_id(id).name;
         let first = WorkerIncarnation { name, born: Some(0) }.id();
@@ -66,7 +66,8 @@
         lives.chain(unborn).max_by_key(|id| WorkerIncarnation::from_id(id).born).cloned()
     }
 
-    /// Takes the lives that are listed now. Those without an entry of their own stay as they are.
+    /// Processes the incarnations that are listed now. Those whose entries are stale
+    /// (`None`) stay as they are.
     fn take_list(&mut self, clock: Clock, present: BTreeMap<WorkerId, Option<WorkerInfo>>) {
         for (id, worker) in &mut self.workers {
             match present.contains_key(id) {
@@ -84,7 +85,8 @@
             .collect();
         for (id, info) in present {
             let Some(info) = info.filter(|_| !former.contains(&id)) else { continue };
-            // The entry of a dead worker stays until three signs of life are missed: it would be recorded and found gone with each read.
+            // The entry of a dead worker remains until it has missed three heartbeats. Without this check each update
+            // would record the worker again and find it gone.
             let follows = self.latest_incarnation(&id).is_some();
             if !self.superseded.contains(&id) && (follows || self.has_pool(&info.pool)) {
                 self.add_or_update_worker(clock, id, info);
@@ -93,10 +95,11 @@
         followed.iter().for_each(|id| self.end_worker(clock, id, WorkerEndReason::Followed));
     }
 
-    /// Lives without an entry that a later life under their name, or at their address, has followed.
+    /// Unlisted incarnations that a later one, under their name or at their address, has replaced.
     ///
-    /// An entry may be missing, late or of a former life while its worker goes on: only births, which one machine's clock tells, prove which
-    /// life came first. Where none is told the address itself shows by its next answer which life is there.
+    /// An entry may be missing, late, or that of an earlier incarnation while its worker goes on. Only times of
+    /// birth, which come from the clock of one machine, prove the order of incarnations. Where they are unknown, the
+    /// next answer from the address shows which incarnation is there.
     fn followed(&self, present: &BTreeMap<WorkerId, Option<WorkerInfo>>) -> Vec<WorkerId> {
         let missing: Vec<(&WorkerId, &Worker)> =
             self.workers.iter().filter(|(id, _)| !present.contains_key(*id)).collect();
@@ -119,22 +122,23 @@
         missing.into_iter().filter(followed).map(|(id, _)| id.clone()).collect()
     }
 
-    /// Whether an entry is that of a life that was known to be over before another one was found at its address.
+    /// Whether an entry shows an incarnation that was known to have ended before another one was found at its
+    /// address.
     fn is_former_incarnation(&self, id: &str, info: &WorkerInfo) -> bool {
         let held = || self.workers.iter().rev().find(|(_, worker)| worker.info.address == info.address);
         self.departed.contains(id) && held().is_some_and(|(other, _)| other != id)
     }
 
-    /// Whether a queue uses a pool. Anybody may write into the list: a worker of a pool that nobody names isn't even called.
+    /// Whether any queue uses a pool. Anyone may write to the list, so workers of unused pools aren't even contacted.
     fn has_pool(&self, pool: &str) -> bool {
         self.most_urgent.contains_key(pool) || self.config.queues.is_empty()
     }
 
-    /// Takes in one worker of the list.
+    /// Adds or updates a worker from the list.
     fn add_or_update_worker(&mut self, clock: Clock, id: WorkerId, info: WorkerInfo) {
         if let Some(worker) = self.workers.get_mut(&id) {
             worker.unlisted_since = None;
-            // A worker that is leaving never stays after all.
+            // A worker that announced its shutdown can't revoke that.
             let info = WorkerInfo { draining: worker.info.draining || info.draining, ..info };
             if *worker.info != info {
                 worker.info = Arc::new(info);
@@ -145,13 +149,14 @@
         self.record_worker(clock, id, info);
     }
 
-    /// Takes in a worker that wasn't known; it gets orders once its record is written.
+    /// Adds an unknown worker, which gets orders once its record is durable.
     pub(crate) fn record_worker(&mut self, clock: Clock, id: WorkerId, info: WorkerInfo) {
         let position = self.record(Record::Worker { id: id.clone(), address: info.address.clone() });
         self.workers.insert(id, Worker::new(info, None, position, clock.now));
     }
 
-    /// A worker's life is over: nothing runs there. That is held against the tasks that were there before anything of them starts again.
+    /// Removes an incarnation that has ended, so that nothing runs there any more. The end is attributed to the tasks
+    /// that were there before any of them is started again.
     pub(crate) fn end_worker(&mut self, clock: Clock, id: &str, reason: WorkerEndReason) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         let (last_heard, draining) = (worker.last_heard, worker.info.draining);
@@ -175,8 +180,8 @@
         self.fail_jobs(clock, exhausted);
     }
 
-    /// Another life is at the worker's address; `next` is its id if it goes by the same name. That one's entry may be still to come: until
-    /// then it is only held.
+    /// Processes that another incarnation has answered at the worker's address. `next` is its id if it has the same
+    /// name. It gets no work until the list shows it.
     pub fn worker_replaced(&mut self, clock: Clock, id: &str, next: Option<WorkerId>) {
         let Some(worker) = self.workers.get(id) else { return };
         let address = worker.info.address.clone();
--- a/components/sched/tests/decisions/cell/mod.rs
+++ b/components/sched/tests/decisions/cell/mod.rs
@@ -51,7 +51,7 @@
         let clock = Clock::default();
         let mut engine = Engine::new(limits, term, config, clock.now);
         log.iter().cloned().for_each(|record| engine.replay(clock, record));
-        engine.replayed(clock);
+        engine.finish_replay(clock);
         let infos = (0..workers).map(|number| (format!("w{number}"), info(number))).collect();
         Cell { engine, now: Duration::ZERO, log: log.to_vec(), infos, numbers: BTreeMap::new() }
     }
@@ -74,7 +74,7 @@
         while self.engine.has_pending_records() {
             let (records, upto) = self.engine.take_records(1_000_000);
             self.log.extend(records);
-            self.engine.written(self.clock(), upto);
+            self.engine.mark_durable(self.clock(), upto);
         }
     }
 
--- a/components/sched/tests/decisions/main.rs
+++ b/components/sched/tests/decisions/main.rs
@@ -120,7 +120,7 @@
         sched::End { number: 1, task: start.task, attempt: start.attempt, how: RunOutcome::Done, saved: String::new() };
     cell.report(&worker, &[], &[end]);
     assert_eq!(cell.engine.acked(&worker), 0);
-    assert_eq!(cell.engine.taken(&worker), 1, "when it is listed again it is no news");
+    assert_eq!(cell.engine.last_processed_end(&worker), 1, "when it is listed again it is no news");
     assert_eq!(cell.engine.state(1), Some(State::Running), "not shown before it is kept");
     cell.write();
     assert_eq!(cell.engine.acked(&worker), 1);
@@ -304,7 +304,7 @@
     assert!(cell.engine.take_actions().is_empty(), "nothing is sent before both are kept");
     let (records, upto) = cell.engine.take_records(1_000_000);
     assert!(matches!(records.as_slice(), [Record::Accepted { .. }, Record::Placed { .. }]), "one write for both");
-    cell.engine.written(cell.clock(), upto);
+    cell.engine.mark_durable(cell.clock(), upto);
     assert!(matches!(cell.engine.take_actions().as_slice(), [Action::Start(..)]));
 }
 
--- a/components/sched/tests/world/leader.rs
+++ b/components/sched/tests/world/leader.rs
@@ -21,7 +21,7 @@
     pub fn new(clock: Clock, term: Term, config: Arc<Config>, log: &[Record]) -> Leader {
         let mut engine = Engine::new(Limits::example(), term, config, clock.now);
         log.iter().cloned().for_each(|record| engine.replay(clock, record));
-        engine.replayed(clock);
+        engine.finish_replay(clock);
         Leader {
             engine,
             term,
--- a/components/sched/tests/world/mod.rs
+++ b/components/sched/tests/world/mod.rs
@@ -301,7 +301,7 @@
             }
         }
         self.log.extend(records);
-        leader.engine.written(self.clock(), upto);
+        leader.engine.mark_durable(self.clock(), upto);
         if self.rng.random_bool(0.01) {
             self.clean(leader);
         }
@@ -318,7 +318,7 @@
         }
         let (records, upto) = leader.engine.take_records(10_000_000);
         self.log.extend(records);
-        leader.engine.written(self.clock(), upto);
+        leader.engine.mark_durable(self.clock(), upto);
     }
 
     /// Renews all leases. Whether no worker knows a newer leader.
