--- a/components/entry/src/reign/agent.rs
+++ b/components/entry/src/reign/agent.rs
@@ -110,7 +110,7 @@
     /// such workers to ask all the time.
     fn idle_pause(&self) -> Option<Duration> {
         let engine = self.reign.engine.lock();
-        let pause = engine.idle_pause();
+        let pause = engine.idle_renewal_interval();
         let owed = engine.last_processed_end(&self.target.id) > self.acknowledged;
         (pause > RENEWAL_INTERVAL && !self.silent && !owed && engine.is_worker_idle(&self.target.id)).then_some(pause)
     }
@@ -289,9 +289,9 @@
     // Until its record is written an end comes again with every renewal.
     let fresh = ended.iter().filter(|end| end.number > taken);
     for end in fresh {
-        reign.host.metrics.ends.get_or_create(&metrics::Outcome { outcome: end.how.name() }).inc();
+        reign.host.metrics.ends.get_or_create(&metrics::Outcome { outcome: end.outcome.name() }).inc();
         emit!(reign.host.log, events::RUN_ENDED, "task" => end.task.to_string(), "attempt" => end.attempt,
-            "worker" => &target.id, "how" => format!("{:?}", end.how), "number" => end.number);
+            "worker" => &target.id, "how" => format!("{:?}", end.outcome), "number" => end.number);
     }
     // Ends free room, and what was adopted may have to be stopped.
     reign.plan.notify_one();
--- a/components/entry/src/reign/duties.rs
+++ b/components/entry/src/reign/duties.rs
@@ -60,7 +60,7 @@
                 stalls = engine.stalls(clock);
                 reign.host.metrics.stalled_jobs.set(engine.stalled_count() as i64);
             }
-            reign.set_busy_pause(engine.busy_pause());
+            reign.set_busy_pause(engine.busy_renewal_interval());
             measure(&reign, &engine);
             (engine.take_actions(), engine.take_preemptions(), engine.take_ended_workers(), stalls)
         };
@@ -112,7 +112,7 @@
 fn report_stall(reign: &Reign, stall: &Stall) {
     emit!(reign.host.log, events::JOB_STALLED, "unit" => stall.unit.to_string(),
         "lasted_ms" => stall.lasted.as_millis() as u64, "waiting" => stall.waiting,
-        "unlisted" => stall.unlisted, "runs" => stall.named.join(", "), "why" => &stall.why, "term" => reign.term);
+        "unlisted" => stall.unlisted, "runs" => stall.run_names.join(", "), "why" => &stall.why, "term" => reign.term);
 }
 
 /// Brings the metrics of the reign up to date.
--- a/components/fakes/src/runner.rs
+++ b/components/fakes/src/runner.rs
@@ -123,7 +123,7 @@
         let running = self.runs.keys().map(|(task, attempt)| Running {
             task: *task,
             attempt: *attempt,
-            saved: String::new(),
+            checkpoint: String::new(),
             percent: 50,
         });
         Ok((running.collect(), self.ended.clone()))
@@ -133,7 +133,7 @@
         self.numbers += 1;
         let settled = self.settled.entry(task).or_default();
         *settled = attempt.max(*settled);
-        self.ended.push(End { number: self.numbers, task, attempt, how, saved: String::new() });
+        self.ended.push(End { number: self.numbers, task, attempt, outcome: how, checkpoint: String::new() });
     }
 
     /// Ends what is due, and everything once the lease is over.
--- a/components/sched/examples/flow.rs
+++ b/components/sched/examples/flow.rs
@@ -150,15 +150,15 @@
                 number: worker.ends,
                 task: start.task,
                 attempt: start.attempt,
-                how: RunOutcome::Done,
-                saved: String::new(),
+                outcome: RunOutcome::Done,
+                checkpoint: String::new(),
             }
         });
         let ended = ended.collect();
         let running = worker.runs.iter().map(|(start, _)| Running {
             task: start.task,
             attempt: start.attempt,
-            saved: String::new(),
+            checkpoint: String::new(),
             percent: (now.as_millis() / PERCENT_MS % 100) as u8,
         });
         let report = Report { mark, running: running.collect(), ended };
--- a/components/sched/src/assemble.rs
+++ b/components/sched/src/assemble.rs
@@ -13,7 +13,7 @@
 
 use crate::engine::{Clock, Engine};
 use crate::entry::UnitState;
-use crate::preempt::{Claim, Preemption, stoppable, weight};
+use crate::preempt::{Claim, Preemption, preemptible, preemption_cost};
 use crate::room::{Place, Room};
 use crate::worker::{Health, Phase, Worker};
 
@@ -44,7 +44,7 @@
     /// Whether its ticket is valid.
     ticket: bool,
     /// Runs that may be preempted, the most expensive first.
-    stoppable: Vec<((Task, Attempt), Resources)>,
+    preemptible: Vec<((Task, Attempt), Resources)>,
     /// Runs that are to be preempted.
     stops: Vec<(Task, Attempt)>,
 }
@@ -69,9 +69,9 @@
     fn next(&self, state: &UnitState, step: &Step) -> Option<Gain> {
         let mut free = self.free;
         let mut cost = 0;
-        for (count, (_, freed)) in self.stoppable.iter().enumerate() {
+        for (count, (_, freed)) in self.preemptible.iter().enumerate() {
             free = free.saturating_add(freed);
-            cost += weight(freed);
+            cost += preemption_cost(freed);
             let tasks = self.place.tasks_in(&free, state, step).saturating_sub(self.tasks);
             if tasks > 0 {
                 return Some(Gain { runs: count + 1, tasks, cost: cost / tasks as u64 });
@@ -81,7 +81,7 @@
     }
 
     fn stop(&mut self, gain: &Gain) {
-        for (run, freed) in self.stoppable.drain(..gain.runs) {
+        for (run, freed) in self.preemptible.drain(..gain.runs) {
             self.free = self.free.saturating_add(&freed);
             self.stops.push(run);
         }
@@ -97,7 +97,7 @@
 
     /// Whether room is assembled for a unit: a gang that still meets its objective after a stop. Preempting runs for
     /// late gangs would only make other jobs late.
-    pub(crate) fn assembles(&self, clock: Clock, unit: Unit, step: &Step) -> bool {
+    pub(crate) fn should_assemble(&self, clock: Clock, unit: Unit, step: &Step) -> bool {
         step.gang && self.has_spare_processor() && self.can_wait(clock, unit, MAX_STOP_TIME)
     }
 
@@ -146,14 +146,14 @@
     ) -> Vec<Offer<'a>> {
         let start_arrival = self.start_arrival(clock);
         let allowed = |place: &&Place| queue.advice.is_none() || state.advice.healthy.contains_key(&place.id);
-        let suits = |place: &&Place| place.health <= Health::Degraded && place.suits(queue, step);
-        let places = room.places.iter().filter(allowed).filter(suits);
+        let suitable = |place: &&Place| place.health <= Health::Degraded && place.is_suitable(queue, step);
+        let places = room.places.iter().filter(allowed).filter(suitable);
         let offer = |place: &'a Place| {
             let worker = self.workers.get(&place.id)?;
             let free = place.free_after(&ending(worker));
             let tasks = place.tasks_in(&free, state, step);
             let ticket = queue.advice.is_none() || state.advice.allows(&place.id, start_arrival);
-            Some(Offer { place, free, tasks, ticket, stoppable: Vec::new(), stops: Vec::new() })
+            Some(Offer { place, free, tasks, ticket, preemptible: Vec::new(), stops: Vec::new() })
         };
         places.filter_map(offer).collect()
     }
@@ -182,8 +182,8 @@
                 continue;
             }
             let Some(worker) = self.workers.get(&offer.place.id) else { continue };
-            offer.stoppable = self.reclaimable_runs(clock, worker, priority);
-            offer.stoppable.sort_by_key(|(_, need)| std::cmp::Reverse(weight(need)));
+            offer.preemptible = self.reclaimable_runs(clock, worker, priority);
+            offer.preemptible.sort_by_key(|(_, need)| std::cmp::Reverse(preemption_cost(need)));
         }
         offers
     }
@@ -191,7 +191,9 @@
     /// Runs on a worker that may be preempted for a more urgent queue and whose jobs will still meet their
     /// objectives.
     fn reclaimable_runs(&self, clock: Clock, worker: &Worker, priority: u32) -> Vec<((Task, Attempt), Resources)> {
-        stoppable(worker, priority).filter(|((task, _), _)| self.can_wait(clock, task.unit, MIN_VICTIM_SLACK)).collect()
+        preemptible(worker, priority)
+            .filter(|((task, _), _)| self.can_wait(clock, task.unit, MIN_VICTIM_SLACK))
+            .collect()
     }
 
     /// Updates how much room each worker could free for a gang of this priority, if the last update is older than
@@ -238,7 +240,7 @@
         gains[index] = offers[index].next(state, step);
     }
     // All offers with preemptions are needed; of the others, only as many as it takes.
-    offers.sort_by_key(|offer| (offer.stops.is_empty(), !offer.ticket, weight(&offer.free)));
+    offers.sort_by_key(|offer| (offer.stops.is_empty(), !offer.ticket, preemption_cost(&offer.free)));
     let mut missing = state.pending;
     offers.retain(|offer| {
         let needed = missing > 0 && offer.tasks > 0;
--- a/components/sched/src/crashes.rs
+++ b/components/sched/src/crashes.rs
@@ -108,14 +108,14 @@
         return Some(Evidence::Cleared);
     }
     if lost.seen_running {
-        return (!ended.draining && !lost.explained).then_some(Evidence::Weak);
+        return (!ended.draining && !lost.beside_suspect).then_some(Evidence::Weak);
     }
     match ended.reason {
         WorkerEndReason::Replaced | WorkerEndReason::Followed | WorkerEndReason::Restarted if ended.draining => {
             Some(Evidence::Weak)
         }
         WorkerEndReason::Replaced | WorkerEndReason::Followed | WorkerEndReason::Restarted
-            if lost.sole && lost.confirmed =>
+            if lost.only_new_job && lost.confirmed =>
         {
             Some(Evidence::Sole)
         }
@@ -137,7 +137,7 @@
     }
 
     fn change_silent(&mut self, left: &[LostRun], change: impl Fn(usize) -> usize) {
-        for lost in left.iter().filter(|lost| lost.may_have_begun_last()) {
+        for lost in left.iter().filter(|lost| lost.may_have_just_started()) {
             if let Some(state) = self.task_mut(lost.task) {
                 state.silent = change(state.silent);
             }
--- a/components/sched/src/engine.rs
+++ b/components/sched/src/engine.rs
@@ -10,7 +10,7 @@
 
 use crate::advice::Shares;
 use crate::assemble::Reclaimable;
-use crate::entry::{Accepted, Begun, Ended, Entry, Phase, TaskState, UnitState};
+use crate::entry::{Accepted, Ended, Entry, Phase, StartState, TaskState, UnitState};
 use crate::latency::Latency;
 use crate::limits::{AUTHORITY_TIMEOUT, Limits};
 use crate::lost_runs::{EndedWorker, WorkerEndReason};
@@ -20,7 +20,7 @@
 use crate::rank::objective;
 use crate::room::Room;
 use crate::stall::Idle;
-use crate::worker::{Contact, Pauses, Worker};
+use crate::worker::{Contact, ExtraDelays, Worker};
 
 /// The time of an event.
 #[derive(Clone, Copy, Debug, Default)]
@@ -39,7 +39,7 @@
     /// The job, including the specification that is sent to the worker.
     pub job: Arc<Job>,
     /// Checkpoint to resume from; empty for none.
-    pub saved: String,
+    pub checkpoint: String,
     /// The adviser's permission, if the queue has an adviser.
     pub ticket: Option<String>,
 }
@@ -90,7 +90,7 @@
 const BUSY_RENEWALS_PER_SECOND: f64 = 500.0;
 /// Longest interval between two renewals of a busy worker. A lease of 7 s then survives a network partition of 5 s,
 /// and no worker delays its answer for longer than this.
-const MAX_BUSY_PAUSE: Duration = Duration::from_secs(2);
+const MAX_BUSY_RENEWAL_INTERVAL: Duration = Duration::from_secs(2);
 /// Interval between two renewals of a busy worker on small fleets: a lease of 6 s must survive a network partition of
 /// 5.5 s. The timeouts for silent and stuck workers are based on it.
 pub const RENEWAL_INTERVAL: Duration = Duration::from_millis(400);
@@ -194,7 +194,7 @@
 
     /// Records that nothing is known of the previous leader: it may run a version that grants longer leases.
     pub fn predecessor_unknown(&mut self) {
-        self.predecessor_active = AUTHORITY_TIMEOUT + self.limits.longer_before();
+        self.predecessor_active = AUTHORITY_TIMEOUT + self.limits.predecessor_lease_excess();
     }
 
     /// Records that the previous leader grants no more leases, as of `now`.
@@ -215,19 +215,20 @@
 
     /// Interval between renewals of an idle worker. It has no lease to prolong, and the renewals of all idle workers
     /// together must not use up the leader's CPU time.
-    pub fn idle_pause(&self) -> Duration {
+    pub fn idle_renewal_interval(&self) -> Duration {
         Duration::from_secs_f64(self.workers.len() as f64 / IDLE_RENEWALS_PER_SECOND)
     }
 
     /// Interval between renewals of a busy worker, at least [`RENEWAL_INTERVAL`].
-    pub fn busy_pause(&self) -> Duration {
+    pub fn busy_renewal_interval(&self) -> Duration {
         let busy = self.workers.values().filter(|worker| !worker.runs.is_empty()).count();
-        Duration::from_secs_f64(busy as f64 / BUSY_RENEWALS_PER_SECOND).clamp(RENEWAL_INTERVAL, MAX_BUSY_PAUSE)
+        Duration::from_secs_f64(busy as f64 / BUSY_RENEWALS_PER_SECOND)
+            .clamp(RENEWAL_INTERVAL, MAX_BUSY_RENEWAL_INTERVAL)
     }
 
     /// By how much the renewal intervals exceed those that the timeouts for silent and stuck workers are based on.
-    pub(crate) fn pauses(&self) -> Pauses {
-        Pauses { idle: self.idle_pause(), busy: self.busy_pause() - RENEWAL_INTERVAL }
+    pub(crate) fn extra_delays(&self) -> ExtraDelays {
+        ExtraDelays { idle: self.idle_renewal_interval(), busy: self.busy_renewal_interval() - RENEWAL_INTERVAL }
     }
 
     /// Whether a worker has no known runs.
@@ -281,7 +282,7 @@
         let units = BTreeMap::new();
         let workspace = owner.workspace.map(|name| self.quota.index(&name));
         let queue = owner.queue;
-        let entry = Entry { queue, workspace, job, accepted, begun: Begun::No, outcome: None, units, opened: 0 };
+        let entry = Entry { queue, workspace, job, accepted, started: StartState::No, outcome: None, units, opened: 0 };
         self.jobs.insert(id, entry);
         self.live.insert(id);
     }
@@ -300,24 +301,24 @@
         let entry = self.jobs.get(&id)?;
         match entry.outcome {
             Some(ended) if ended.position <= self.durable => Some(State::Ended(ended.outcome)),
-            _ if entry.begun != Begun::No => Some(State::Running),
+            _ if entry.started != StartState::No => Some(State::Running),
             _ => Some(State::Queued),
         }
     }
 
     /// Number of accepted jobs of a queue that have no schedule and none of whose tasks has started.
     pub fn waiting(&self, queue: &str) -> usize {
-        let waits = |entry: &&Entry| entry.queue == queue && self.waits(entry) && entry.job.schedule.is_none();
+        let waits = |entry: &&Entry| entry.queue == queue && self.is_waiting(entry) && entry.job.schedule.is_none();
         self.live.iter().filter_map(|id| self.jobs.get(id)).filter(waits).count()
     }
 
     /// Whether none of a job's tasks is known to have started. A task that an earlier leader placed may never have
     /// been sent to its worker.
-    pub(crate) fn waits(&self, entry: &Entry) -> bool {
-        match entry.begun {
-            Begun::No => true,
-            Begun::Placed => entry.units.values().all(|unit| self.resolved(unit)),
-            Begun::Yes => false,
+    pub(crate) fn is_waiting(&self, entry: &Entry) -> bool {
+        match entry.started {
+            StartState::No => true,
+            StartState::Placed => entry.units.values().all(|unit| self.resolved(unit)),
+            StartState::Yes => false,
         }
     }
 
--- a/components/sched/src/entry.rs
+++ b/components/sched/src/entry.rs
@@ -30,7 +30,7 @@
     /// Number of starts in this term.
     pub starts: u64,
     /// Last checkpoint; empty for none.
-    pub saved: String,
+    pub checkpoint: String,
     /// Worker ends that are attributed to the task.
     pub crashes: Vec<Crash>,
     /// Number of silent workers that may have ended because of the task; see [`crate::crashes`].
@@ -70,7 +70,7 @@
     /// Number of starts of a gang in this term.
     pub starts: u64,
     /// Last checkpoint of a gang.
-    pub saved: String,
+    pub checkpoint: String,
     /// What the adviser said about the workers that may run it.
     pub advice: UnitAdvice,
     /// Room that is being freed for it.
@@ -90,7 +90,7 @@
             phase: Phase::Pending,
             failed: Vec::new(),
             starts: 0,
-            saved: String::new(),
+            checkpoint: String::new(),
             crashes: Vec::new(),
             silent: 0,
             inherited: None,
@@ -102,7 +102,7 @@
             done: 0,
             failed: Vec::new(),
             starts: 0,
-            saved: String::new(),
+            checkpoint: String::new(),
             advice: UnitAdvice::default(),
             claims: Vec::new(),
             retry_at: Duration::ZERO,
@@ -167,7 +167,7 @@
     /// Time of acceptance; for jobs that earlier leaders accepted it may precede the start of this process.
     pub accepted: Accepted,
     /// Whether a task of the job has started.
-    pub begun: Begun,
+    pub started: StartState,
     pub outcome: Option<Ended>,
     /// Units of the rounds that have been opened, by round and step.
     pub units: BTreeMap<(u32, u16), UnitState>,
@@ -177,7 +177,7 @@
 
 /// What is known of whether a task of a job has started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Begun {
+pub(crate) enum StartState {
     /// No task has started.
     No,
     /// An earlier leader placed tasks, which may have started on workers that haven't answered yet.
--- a/components/sched/src/explain.rs
+++ b/components/sched/src/explain.rs
@@ -113,10 +113,10 @@
             return why;
         }
         let room = self.room(clock);
-        let suits = room.places.iter().filter(|place| place.suits(queue, step));
+        let suitable = room.places.iter().filter(|place| place.is_suitable(queue, step));
         let start_arrival = self.start_arrival(clock);
         let (mut workers, mut fitting, mut with_ticket) = (0, 0, 0);
-        for place in suits {
+        for place in suitable {
             workers += 1;
             let slots = place.tasks(unit, step);
             fitting += slots;
--- a/components/sched/src/handover.rs
+++ b/components/sched/src/handover.rs
@@ -13,7 +13,7 @@
 use crate::worker::{Contact, Phase, Run, Worker};
 
 /// A run that may have been ordered and that its worker hasn't listed.
-pub(crate) struct Unsettled {
+pub(crate) struct UnsettledRun {
     task: Task,
     attempt: Attempt,
     run: Run,
@@ -23,16 +23,16 @@
 
 impl Engine {
     /// Runs whose start orders may still be on their way to a worker.
-    pub(crate) fn unsettled_runs(&self, id: &str) -> Vec<Unsettled> {
+    pub(crate) fn unsettled_runs(&self, id: &str) -> Vec<UnsettledRun> {
         let Some(worker) = self.workers.get(id) else { return Vec::new() };
         let unlisted = worker.runs.iter().filter(|(_, run)| !run.listed);
-        let unsettled_runs = |((task, attempt), run): (&(Task, Attempt), &Run)| Unsettled {
+        let unsettled = |((task, attempt), run): (&(Task, Attempt), &Run)| UnsettledRun {
             task: *task,
             attempt: *attempt,
             run: run.clone(),
             held: self.holds(*task, id, *attempt),
         };
-        unlisted.filter(|((task, attempt), _)| !self.is_unsent(id, *task, *attempt)).map(unsettled_runs).collect()
+        unlisted.filter(|((task, attempt), _)| !self.is_unsent(id, *task, *attempt)).map(unsettled).collect()
     }
 
     /// Whether a start was decided and hasn't been sent yet.
@@ -50,8 +50,8 @@
     }
 
     /// Transfers the unsettled runs of an earlier incarnation to the next one, which may carry out their orders.
-    pub(crate) fn hand_over(&mut self, id: &str, next: &str, unsettled_runs: Vec<Unsettled>) {
-        for Unsettled { task, attempt, run, held } in unsettled_runs {
+    pub(crate) fn hand_over(&mut self, id: &str, next: &str, unsettled_runs: Vec<UnsettledRun>) {
+        for UnsettledRun { task, attempt, run, held } in unsettled_runs {
             let Some(worker) = self.workers.get_mut(next) else { return };
             worker.add_run(task, attempt, Run { phase: Phase::Stopping, ..run });
             if held {
@@ -83,7 +83,7 @@
     /// Frees the runs that were transferred to incarnations which never answered, once a lease that they may have
     /// accepted has certainly expired. All orders were sent before the end of the earlier incarnation was known.
     pub(crate) fn free_handed_over(&mut self, clock: Clock) {
-        let longest = self.limits.longest_lease();
+        let longest = self.limits.max_lease_lapse_time();
         let over = |worker: &Worker| {
             let silent = worker.contact == Contact::Unknown && !worker.runs.is_empty();
             silent && clock.now.saturating_sub(worker.last_heard) > longest
--- a/components/sched/src/limits.rs
+++ b/components/sched/src/limits.rs
@@ -48,12 +48,12 @@
     }
 
     /// Time after which everything that wasn't renewed has certainly ended.
-    pub(crate) fn surely_lapsed(&self) -> Duration {
+    pub(crate) fn lease_lapse_time(&self) -> Duration {
         self.lease.mul_f64(CLOCK_SLACK) + LAPSE_MARGIN
     }
 
     /// Time after which a lease granted just now has certainly expired, whatever its duration.
-    pub(crate) fn longest_lease(&self) -> Duration {
+    pub(crate) fn max_lease_lapse_time(&self) -> Duration {
         self.max_lease.mul_f64(CLOCK_SLACK) + LAPSE_MARGIN
     }
 
@@ -67,7 +67,7 @@
     }
 
     /// By how much the leases of an earlier version may exceed those of this one.
-    pub(crate) fn longer_before(&self) -> Duration {
+    pub(crate) fn predecessor_lease_excess(&self) -> Duration {
         self.max_lease.saturating_sub(self.lease).mul_f64(CLOCK_SLACK)
     }
 }
--- a/components/sched/src/lost_runs.rs
+++ b/components/sched/src/lost_runs.rs
@@ -64,13 +64,13 @@
     /// Whether the worker had listed it after its startup window.
     pub seen_running: bool,
     /// Whether it had certainly started: this leader got an answer to its start, or the worker listed it.
-    pub begun: bool,
+    pub started: bool,
     /// Whether its start was confirmed and no stop was ordered.
     pub confirmed: bool,
     /// Whether no other job had a run on the worker that wasn't listed yet.
-    pub sole: bool,
+    pub only_new_job: bool,
     /// Whether it had been listed while a suspect task was tried on the worker, which more likely caused the end.
-    pub explained: bool,
+    pub beside_suspect: bool,
     /// Whether its step is long-running.
     pub long_running: bool,
     /// Evidence that the worker's end gives against its task.
@@ -88,8 +88,8 @@
     }
 
     /// Whether it may have started just before its worker fell silent.
-    pub(crate) fn may_have_begun_last(&self) -> bool {
-        !self.seen_running || !self.begun
+    pub(crate) fn may_have_just_started(&self) -> bool {
+        !self.seen_running || !self.started
     }
 
     /// A run that an earlier leader ordered from a worker that hasn't been heard of since.
@@ -99,10 +99,10 @@
             attempt,
             age: Duration::ZERO,
             seen_running: true,
-            begun: false,
+            started: false,
             confirmed: false,
-            sole: false,
-            explained: false,
+            only_new_job: false,
+            beside_suspect: false,
             long_running: false,
             evidence: None,
             ends: 0,
@@ -127,10 +127,10 @@
         let lost = |(task, attempt, run): &(Task, Attempt, &Run)| LostRun {
             age: last_heard.saturating_sub(run.decided_at),
             seen_running: run.seen_running,
-            begun: run.begun.is_some(),
+            started: run.started_at.is_some(),
             confirmed: matches!(run.phase, Phase::Running(_)),
-            sole: new.len() == 1,
-            explained: run.seen_running && worker.suspects > 0,
+            only_new_job: new.len() == 1,
+            beside_suspect: run.seen_running && worker.suspects > 0,
             long_running: self.step(*task).is_some_and(|step| step.long_running),
             ..LostRun::inherited(*task, *attempt)
         };
--- a/components/sched/src/order.rs
+++ b/components/sched/src/order.rs
@@ -71,14 +71,14 @@
     /// Processes the worker's confirmation of a start.
     fn confirmed(&mut self, clock: Clock, id: &str, task: Task, attempt: Attempt) {
         let mark = self.next_mark();
-        self.begin(task);
+        self.mark_started(task);
         let Some(worker) = self.workers.get_mut(id) else { return };
         worker.unanswered = 0;
         if let Some(run) = worker.runs.get_mut(&(task, attempt))
             && run.phase == Phase::Starting
         {
             run.phase = Phase::Running(mark);
-            run.begun.get_or_insert(clock.now);
+            run.started_at.get_or_insert(clock.now);
             let decided = run.progressed_at;
             self.start_latency.observe(clock.now.saturating_sub(decided));
         }
--- a/components/sched/src/place.rs
+++ b/components/sched/src/place.rs
@@ -13,7 +13,7 @@
 use crate::rank::Candidate;
 use crate::reports::taken_room;
 use crate::room::{Choice, Room};
-use crate::worker::{self, Contact, Pauses, Run, Worker};
+use crate::worker::{self, Contact, ExtraDelays, Run, Worker};
 
 /// Interval after which further questions for a unit are considered: about as often as room changes.
 const ASK_INTERVAL: Duration = Duration::from_millis(50);
@@ -43,7 +43,7 @@
         }
         self.recount_quota();
         let mut room = self.fresh_room(clock);
-        candidates.iter().for_each(|candidate| self.keep_claims(clock, candidate.unit, &mut room));
+        candidates.iter().for_each(|candidate| self.apply_claims(clock, candidate.unit, &mut room));
         if self.has_spare_processor() {
             room.count_cores();
         }
@@ -61,14 +61,14 @@
         if self.settled {
             return self.drop_unseen(clock);
         }
-        let waits = self.predecessor_active + self.limits.surely_lapsed();
+        let waits = self.predecessor_active + self.limits.lease_lapse_time();
         self.settled = clock.now.saturating_sub(self.term_start) > waits;
     }
 
     /// Ends workers that have never answered in this term, aren't listed any more, and whose leases have expired:
     /// leases of earlier terms have expired by now.
     fn drop_unseen(&mut self, clock: Clock) {
-        let longest = self.limits.longest_lease();
+        let longest = self.limits.max_lease_lapse_time();
         let over = |worker: &Worker| {
             !worker.follows_earlier_incarnation || clock.now.saturating_sub(worker.last_heard) > longest
         };
@@ -97,24 +97,24 @@
 
     /// The room on all usable workers.
     pub(crate) fn room(&self, clock: Clock) -> Room {
-        let pauses = self.pauses();
-        Room::new(self.usable(clock, pauses), clock.now, pauses)
+        let extra_delays = self.extra_delays();
+        Room::new(self.usable(clock, extra_delays), clock.now, extra_delays)
     }
 
     /// The room of the last pass, updated: rebuilding it costs more than a look at each worker.
     fn fresh_room(&mut self, clock: Clock) -> Room {
         let mut room = std::mem::take(&mut self.room);
-        let pauses = self.pauses();
-        match room.refresh(self.usable(clock, pauses), clock.now, pauses) {
+        let extra_delays = self.extra_delays();
+        match room.refresh(self.usable(clock, extra_delays), clock.now, extra_delays) {
             true => room,
             false => self.room(clock),
         }
     }
 
     /// Workers that may get new work, by name.
-    fn usable(&self, clock: Clock, pauses: Pauses) -> impl Iterator<Item = (&WorkerId, &Worker)> {
+    fn usable(&self, clock: Clock, extra_delays: ExtraDelays) -> impl Iterator<Item = (&WorkerId, &Worker)> {
         let durable = self.durable;
-        self.workers.iter().filter(move |(_, worker)| worker.usable(clock.now, durable, pauses))
+        self.workers.iter().filter(move |(_, worker)| worker.usable(clock.now, durable, extra_delays))
     }
 
     /// The expected arrival of a start that is decided now at its worker. On a busy leader the record and the order
@@ -149,12 +149,12 @@
         if step.gang && state.pending != state.tasks.len() {
             return;
         }
-        let most = self.quota.tasks(entry.workspace, &step.need);
+        let most = self.quota.startable_tasks(entry.workspace, &step.need);
         if most < if step.gang { state.pending } else { 1 } {
             return self.reserve_gang_quota(unit, step);
         }
         // A job that isn't durable yet is placed anyway: its starts are sent after its own record is written.
-        let kept = entry.accepted.position <= self.durable;
+        let is_durable = entry.accepted.position <= self.durable;
         // Nor does it keep asking the adviser meanwhile, since the tickets would expire.
         let left = self.headroom_limit(clock, unit, step, &queue, room);
         if left == 0 {
@@ -169,16 +169,16 @@
             self.start(clock, unit, step, choices, room);
         }
         // Before the job is durable it asks only once: a store outage may be long.
-        if kept || self.unit(unit).is_some_and(|state| state.advice.is_new()) {
+        if is_durable || self.unit(unit).is_some_and(|state| state.advice.is_new()) {
             self.ask(clock, unit, &queue, room);
         }
-        if kept && candidate.on_time() {
-            self.make_room(clock, unit, step, &queue, room);
+        if is_durable && candidate.on_time() {
+            self.preempt_for(clock, unit, step, &queue, room);
         }
-        if kept && self.assembles(clock, unit, step) {
+        if is_durable && self.should_assemble(clock, unit, step) {
             self.assemble(clock, unit, step, &queue, room);
         }
-        self.keep_claims(clock, unit, room);
+        self.apply_claims(clock, unit, room);
         self.reserve_claimed_quota(unit);
     }
 
@@ -190,7 +190,7 @@
         let Some(state) = entry.units.get(&(unit.round, unit.step)).filter(|state| !state.claims.is_empty()) else {
             return;
         };
-        self.quota.take(entry.workspace, &step.need, state.pending);
+        self.quota.add_usage(entry.workspace, &step.need, state.pending);
     }
 
     /// Reserves what a gang that waits for its workspace's limit needs of it. Otherwise small tasks of less urgent
@@ -198,7 +198,7 @@
     fn reserve_gang_quota(&mut self, unit: Unit, step: &Step) {
         if step.gang {
             let workspace = self.jobs.get(&unit.job).and_then(|entry| entry.workspace);
-            self.quota.take(workspace, &step.need, step.count as usize);
+            self.quota.add_usage(workspace, &step.need, step.count as usize);
         }
     }
 
@@ -210,7 +210,7 @@
     }
 
     /// Withholds the room that is reserved for a unit from all others.
-    fn keep_claims(&mut self, clock: Clock, unit: Unit, room: &mut Room) {
+    fn apply_claims(&mut self, clock: Clock, unit: Unit, room: &mut Room) {
         let Some(entry) = self.jobs.get_mut(&unit.job) else { return };
         let Some(need) = entry.step(unit.step).map(taken_room) else { return };
         let Some(state) = entry.units.get_mut(&(unit.round, unit.step)) else { return };
@@ -227,11 +227,11 @@
         }
         // Room that preemption can free counts, too.
         let step = self.jobs.get(&unit.job).and_then(|entry| entry.step(unit.step));
-        let assembles = step.is_some_and(|step| self.assembles(clock, unit, step));
+        let assembles = step.is_some_and(|step| self.should_assemble(clock, unit, step));
         if assembles {
             self.refresh_reclaimable(clock, queue.priority);
         }
-        let questions = self.questions(clock, &Inquiry { unit, advice, queue, room, assembles });
+        let questions = self.questions(clock, &Inquiry { unit, advice, queue, room, count_preemptible: assembles });
         if let Some(state) = self.unit_mut(unit) {
             state.advice.ask_at = clock.now + ASK_INTERVAL;
         }
@@ -249,8 +249,8 @@
         let need = taken_room(step);
         let gang_attempt = self.unit(unit).map(|state| self.attempt(state.starts));
         let charge = self.jobs.get(&unit.job).and_then(|entry| entry.charge(unit.step));
-        let stoppable = self.stoppable_for(unit, step);
-        self.quota.take(charge.map(|charge| charge.workspace), &step.need, choices.len());
+        let preemptible = self.preemption_priority(unit, step);
+        self.quota.add_usage(charge.map(|charge| charge.workspace), &step.need, choices.len());
         if step.gang
             && let Some(state) = self.unit_mut(unit)
         {
@@ -272,11 +272,11 @@
                 phase,
                 need,
                 charge,
-                stoppable,
+                preemptible,
                 percent: 0,
                 progressed_at: now,
                 decided_at: now,
-                begun: None,
+                started_at: None,
                 listed: false,
                 seen_running: false,
                 suspect,
@@ -312,7 +312,7 @@
     }
 
     /// Sends the starts whose records are durable, unless they have become pointless.
-    pub(crate) fn send_decided(&mut self, clock: Clock) {
+    pub(crate) fn send_durable_starts(&mut self, clock: Clock) {
         while let Some((position, worker, start)) = self.unsent_starts.pop_front() {
             if position > self.durable {
                 self.unsent_starts.push_front((position, worker, start));
@@ -349,10 +349,10 @@
         let attempt = if step.gang { gang_attempt? } else { self.attempt(term_attempt) };
         let state = self.unit_mut(task.unit)?;
         let ticket = state.advice.healthy.get(worker).map(|ticket| ticket.text.clone());
-        let gang_saved = state.saved.clone();
+        let gang_checkpoint = state.checkpoint.clone();
         let own = state.tasks.get_mut(task.index as usize)?;
         own.starts += 1;
-        let saved = if step.gang { gang_saved } else { own.saved.clone() };
-        Some(Start { task, attempt, job, saved, ticket })
+        let checkpoint = if step.gang { gang_checkpoint } else { own.checkpoint.clone() };
+        Some(Start { task, attempt, job, checkpoint, ticket })
     }
 }
--- a/components/sched/src/preempt.rs
+++ b/components/sched/src/preempt.rs
@@ -54,7 +54,7 @@
 
 impl Engine {
     /// Preempts runs for one waiting task of a unit, unless room is already reserved for all of them.
-    pub(crate) fn make_room(&mut self, clock: Clock, unit: Unit, step: &Step, queue: &Queue, room: &Room) {
+    pub(crate) fn preempt_for(&mut self, clock: Clock, unit: Unit, step: &Step, queue: &Queue, room: &Room) {
         if step.gang || step.long_running {
             return;
         }
@@ -68,7 +68,7 @@
         let places = places.filter(|place| place.health == Health::Good && place.tasks(state, step) == 0);
         let start_arrival = self.start_arrival(clock);
         let with_ticket = |place: &Place| queue.advice.is_none() || state.advice.allows(&place.id, start_arrival);
-        let places = places.filter(|place| place.suits(queue, step) && with_ticket(place));
+        let places = places.filter(|place| place.is_suitable(queue, step) && with_ticket(place));
         let places = places.filter(|place| state.claims.iter().all(|claim| claim.worker != place.id));
         let found = places.filter_map(|place| self.victims(&place.id, &need, queue.priority));
         let Some(victims) = found.min_by_key(|victims| victims.weight) else { return };
@@ -91,8 +91,8 @@
     /// The runs to preempt on a worker for a task of this need; `None` if that doesn't free enough room.
     fn victims(&self, worker: &str, need: &Resources, priority: u32) -> Option<Victims> {
         let (id, worker) = self.workers.get_key_value(worker)?;
-        let mut runs: Vec<_> = stoppable(worker, priority).collect();
-        runs.sort_by_key(|(_, need)| std::cmp::Reverse(weight(need)));
+        let mut runs: Vec<_> = preemptible(worker, priority).collect();
+        runs.sort_by_key(|(_, need)| std::cmp::Reverse(preemption_cost(need)));
         let mut victims = Victims { worker: id.clone(), runs: Vec::new(), weight: 0 };
         let mut free = worker.free;
         for (run, freed) in runs {
@@ -101,13 +101,13 @@
             }
             free = free.checked_add(&freed)?;
             victims.runs.push(run);
-            victims.weight += weight(&freed);
+            victims.weight += preemption_cost(&freed);
         }
         (need.fits_in(&free) && !victims.runs.is_empty()).then_some(victims)
     }
 
     /// Priority of a unit's queue, if its runs lose little when they are preempted.
-    pub(crate) fn stoppable_for(&self, unit: Unit, step: &Step) -> Option<u32> {
+    pub(crate) fn preemption_priority(&self, unit: Unit, step: &Step) -> Option<u32> {
         let saves = step.checkpoints && !step.long_running && !step.gang;
         let entry = self.jobs.get(&unit.job).filter(|_| saves)?;
         self.queues.get(&entry.queue).map(|queue| queue.priority)
@@ -115,15 +115,15 @@
 }
 
 /// Runs on a worker that may be preempted for a queue of this priority.
-pub(crate) fn stoppable(worker: &Worker, priority: u32) -> impl Iterator<Item = ((Task, Attempt), Resources)> + '_ {
+pub(crate) fn preemptible(worker: &Worker, priority: u32) -> impl Iterator<Item = ((Task, Attempt), Resources)> + '_ {
     let runs = worker.runs.iter();
-    let stoppable = move |(_, run): &(&(Task, Attempt), &Run)| {
-        matches!(run.phase, Phase::Running(_)) && run.stoppable.is_some_and(|own| own > priority)
+    let preemptible = move |(_, run): &(&(Task, Attempt), &Run)| {
+        matches!(run.phase, Phase::Running(_)) && run.preemptible.is_some_and(|own| own > priority)
     };
-    runs.filter(stoppable).map(|(key, run)| (*key, run.need))
+    runs.filter(preemptible).map(|(key, run)| (*key, run.need))
 }
 
 /// Cost of preempting a run of this need, in thousandths of a core.
-pub(crate) fn weight(need: &Resources) -> u64 {
+pub(crate) fn preemption_cost(need: &Resources) -> u64 {
     u64::from(need.cpu_milli) + u64::from(need.accelerators) * CORES_PER_ACCELERATOR * 1000
 }
--- a/components/sched/src/questions.rs
+++ b/components/sched/src/questions.rs
@@ -39,7 +39,7 @@
     pub queue: &'a Queue,
     pub room: &'a Room,
     /// Whether room that preemption can free counts, too; see [`crate::assemble`].
-    pub assembles: bool,
+    pub count_preemptible: bool,
 }
 
 /// Workers are named until their expected room is this multiple of what the unit needs.
@@ -76,7 +76,7 @@
     /// On workers whose tickets are valid for long enough.
     held: f64,
     /// Expected on workers that are named in unanswered questions.
-    coming: f64,
+    outstanding: f64,
     /// Workers that may run the unit but need a new ticket, those with most room first.
     expired: Vec<Named<'a>>,
 }
@@ -89,9 +89,9 @@
 
     /// The next questions for a unit; none if no question would help.
     pub(crate) fn questions(&self, clock: Clock, inquiry: &Inquiry) -> Vec<Question> {
-        let Inquiry { unit, advice, queue, assembles, .. } = *inquiry;
-        let most = most_questions(self.askers);
-        let claimed = self.claimed(clock, unit).filter(|_| assembles);
+        let Inquiry { unit, advice, queue, count_preemptible, .. } = *inquiry;
+        let most = max_questions(self.askers);
+        let claimed = self.claimed(clock, unit).filter(|_| count_preemptible);
         let others = || self.named(clock, inquiry, most).unwrap_or_default();
         let workers = claimed.unwrap_or_else(others);
         let question = |workers: &[WorkerId]| Question {
@@ -101,7 +101,7 @@
             priority: queue.priority,
             validity: advice.validity,
         };
-        workers.chunks(length(workers.len(), advice, most)).take(most).map(question).collect()
+        workers.chunks(workers_per_question(workers.len(), advice, most)).take(most).map(question).collect()
     }
 
     /// If room is reserved for a gang, the workers there whose tickets expire before the room is free.
@@ -114,7 +114,7 @@
 
     /// Workers to name in the next questions for a unit: first known ones whose tickets expire, then others.
     fn named(&self, clock: Clock, inquiry: &Inquiry, most: usize) -> Option<Vec<WorkerId>> {
-        let Inquiry { unit, advice, queue, room, assembles } = *inquiry;
+        let Inquiry { unit, advice, queue, room, count_preemptible } = *inquiry;
         let entry = self.jobs.get(&unit.job)?;
         let state = self.unit(unit)?;
         let step = entry.step(unit.step)?;
@@ -122,8 +122,8 @@
         let share = self.shares.get(&queue.name);
         let slots = |place: &Place| {
             let reclaimable =
-                if assembles { self.reclaimable_room(&place.id, queue.priority) } else { Resources::ZERO };
-            place.suits(queue, step).then(|| place.tasks_in(&place.free_after(&reclaimable), state, step))
+                if count_preemptible { self.reclaimable_room(&place.id, queue.priority) } else { Resources::ZERO };
+            place.is_suitable(queue, step).then(|| place.tasks_in(&place.free_after(&reclaimable), state, step))
         };
         let idle = state.advice.asking.is_empty();
         let scarce = most == 1;
@@ -134,26 +134,26 @@
         // units.
         let start_arrival = self.start_arrival(clock);
         let until = if step.gang && !scarce { start_arrival + cost(advice, MIN_NAMED) } else { start_arrival };
-        let Supply { held, coming, expired } = supply(&state.advice, room, share, until, slots);
-        let there = held + coming;
-        if there >= needed {
+        let Supply { held, outstanding, expired } = supply(&state.advice, room, share, until, slots);
+        let covered = held + outstanding;
+        if covered >= needed {
             return None;
         }
         // While no question is open, full workers are asked about as well, to learn which ones may run the unit once
         // they have room.
-        let full_too = idle && state.advice.asked.len() < room.places.len();
+        let include_full = idle && state.advice.asked.len() < room.places.len();
         let known = expected(&expired);
-        let missing = if there + known < needed { ROOM_FACTOR * needed - there - known } else { 0.0 };
-        let fresh = fresh(&state.advice, share, missing, state.pending, room, most * MAX_NAMED, |place| {
-            slots(place).filter(|slots| *slots > 0 || full_too)
+        let missing = if covered + known < needed { ROOM_FACTOR * needed - covered - known } else { 0.0 };
+        let unasked = unasked_workers(&state.advice, share, missing, state.pending, room, most * MAX_NAMED, |place| {
+            slots(place).filter(|slots| *slots > 0 || include_full)
         });
         // Tickets for only a part of a gang are useless.
-        let whole = !step.gang || there + known + expected(&fresh) >= needed;
-        let renewed = if whole { at_most(expired, ROOM_FACTOR * needed - there) } else { Vec::new() };
-        if !idle && expected(&renewed) + expected(&fresh) < MIN_EXPECTED_SHARE * needed {
+        let whole = !step.gang || covered + known + expected(&unasked) >= needed;
+        let renewed = if whole { take_enough(expired, ROOM_FACTOR * needed - covered) } else { Vec::new() };
+        if !idle && expected(&renewed) + expected(&unasked) < MIN_EXPECTED_SHARE * needed {
             return None;
         }
-        Some(renewed.into_iter().chain(fresh).map(|named| named.id.clone()).collect())
+        Some(renewed.into_iter().chain(unasked).map(|named| named.id.clone()).collect())
     }
 }
 
@@ -165,7 +165,7 @@
     until: Duration,
     slots: impl Fn(&Place) -> Option<usize>,
 ) -> Supply<'a> {
-    let mut supply = Supply { held: 0.0, coming: 0.0, expired: Vec::new() };
+    let mut supply = Supply { held: 0.0, outstanding: 0.0, expired: Vec::new() };
     let places = |worker: &WorkerId| {
         let place = room.place(worker)?;
         Some((place, slots(place).filter(|slots| *slots > 0)? as f64))
@@ -179,14 +179,14 @@
     }
     for worker in &known.asking {
         let chance = if known.healthy.contains_key(worker) { 1.0 } else { share };
-        supply.coming += places(worker).map_or(0.0, |(_, slots)| chance * slots);
+        supply.outstanding += places(worker).map_or(0.0, |(_, slots)| chance * slots);
     }
     supply.expired.sort_by(|a, b| b.expected.total_cmp(&a.expected));
     supply
 }
 
 /// Workers that weren't asked about yet, with expected room for `missing` tasks; none if that is 0.
-fn fresh<'a>(
+fn unasked_workers<'a>(
     known: &UnitAdvice,
     share: f64,
     missing: f64,
@@ -199,13 +199,13 @@
     if missing <= 0.0 {
         return workers;
     }
-    let fewest = fewest_named(share);
+    let fewest = min_named(share);
     let asked = |place: &Place| known.asked.contains(&place.id) || known.asking.contains(&place.id);
     // Room is checked first: that is cheaper, and while many units wait there is little room.
     let open = room.places.iter().enumerate().filter_map(|(index, place)| Some((index, slots(place)?)));
     let open = open.filter(|(index, _)| !asked(&room.places[*index])).collect();
     let mut found = 0.0;
-    for (index, slots) in best(open, tasks, room, most) {
+    for (index, slots) in best_places(open, tasks, room, most) {
         // Among workers without room one question is enough, to learn which ones may run the unit.
         let full = slots == 0 && workers.len() >= MAX_NAMED;
         if full || (found >= missing && workers.len() >= fewest) {
@@ -223,7 +223,7 @@
 }
 
 /// The first of `named` that together have room for `tasks`.
-fn at_most(named: Vec<Named>, tasks: f64) -> Vec<Named> {
+fn take_enough(named: Vec<Named>, tasks: f64) -> Vec<Named> {
     let mut found = 0.0;
     let enough = |named: &Named| {
         let before = found;
@@ -239,12 +239,12 @@
 }
 
 /// The number of questions that a unit may ask at once, given the number of free hosts.
-fn most_questions(askers: usize) -> usize {
+fn max_questions(askers: usize) -> usize {
     ((askers as f64 * MAX_ASKER_SHARE) as usize).max(1)
 }
 
 /// The number of workers that each question names, if `named` workers are split into at most `most` questions.
-fn length(named: usize, advice: Advice, most: usize) -> usize {
+fn workers_per_question(named: usize, advice: Advice, most: usize) -> usize {
     let naming = advice.per_worker.as_secs_f64() * named as f64;
     let split = (naming / (MIN_NAMING_SHARE * advice.base.as_secs_f64()).max(f64::MIN_POSITIVE)).ceil();
     let questions = (split as usize).clamp(1, most);
@@ -252,14 +252,14 @@
 }
 
 /// The minimum number of workers to name, given the share of workers that may run the unit.
-fn fewest_named(share: f64) -> usize {
+fn min_named(share: f64) -> usize {
     let enough = MAX_CHANCE_OF_NONE.ln() / (1.0 - share).max(f64::MIN_POSITIVE).ln();
     (enough.ceil() as usize).clamp(MIN_NAMED, MAX_NAMED)
 }
 
 /// The best `most` of the `open` workers, given with the number of tasks that fit there: first those with room for
 /// all tasks, and among them the fullest, so that empty workers remain free for larger tasks.
-fn best(mut open: Vec<(usize, usize)>, tasks: usize, room: &Room, most: usize) -> Vec<(usize, usize)> {
+fn best_places(mut open: Vec<(usize, usize)>, tasks: usize, room: &Room, most: usize) -> Vec<(usize, usize)> {
     let key =
         |(index, slots): &(usize, usize)| (Reverse((*slots).min(tasks)), room.places[*index].free.cpu_milli, *index);
     // Out of thousands of workers only those that may be named are sorted.
--- a/components/sched/src/quota.rs
+++ b/components/sched/src/quota.rs
@@ -123,7 +123,7 @@
     }
 
     /// Number of tasks of this need that may be started now.
-    pub(crate) fn tasks(&self, workspace: Option<WorkspaceIndex>, need: &Resources) -> usize {
+    pub(crate) fn startable_tasks(&self, workspace: Option<WorkspaceIndex>, need: &Resources) -> usize {
         let Some(account) = workspace.and_then(|index| self.accounts.get(index)) else { return usize::MAX };
         let free = account.free();
         let ratio = |free: u32, need: u32| match free {
@@ -136,7 +136,7 @@
     }
 
     /// Adds tasks of this need to the usage.
-    pub(crate) fn take(&mut self, workspace: Option<WorkspaceIndex>, need: &Resources, tasks: usize) {
+    pub(crate) fn add_usage(&mut self, workspace: Option<WorkspaceIndex>, need: &Resources, tasks: usize) {
         if let Some(account) = workspace.and_then(|index| self.accounts.get_mut(index)) {
             account.used = account.used.saturating_add(&need.saturating_mul(tasks));
         }
@@ -229,7 +229,7 @@
         let runs = workers.values().flat_map(|worker| worker.runs.values().filter_map(|run| run.charge));
         let earlier = self.inherited.values().flatten().map(|run| run.charge);
         let charges: Vec<Charge> = runs.chain(earlier).collect();
-        charges.into_iter().for_each(|charge| self.take(Some(charge.workspace), &charge.need, 1));
+        charges.into_iter().for_each(|charge| self.add_usage(Some(charge.workspace), &charge.need, 1));
     }
 }
 
@@ -269,7 +269,7 @@
         for entry in live {
             let Some(workspace) = entry.workspace.and_then(|index| found.get_mut(index)) else { continue };
             workspace.live += 1;
-            workspace.waiting += usize::from(self.waits(entry));
+            workspace.waiting += usize::from(self.is_waiting(entry));
         }
         found.sort_by(|a, b| a.name.cmp(&b.name));
         found
@@ -279,7 +279,7 @@
     pub(crate) fn quota_wait_reason(&self, entry: &Entry, step: &Step, pending: usize) -> Option<String> {
         let workspace = entry.workspace?;
         let least = if step.gang { pending } else { 1 };
-        if self.quota.tasks(Some(workspace), &step.need) >= least {
+        if self.quota.startable_tasks(Some(workspace), &step.need) >= least {
             return None;
         }
         let (used, limit) = self.quota.usage_and_limit(workspace)?;
--- a/components/sched/src/rank.rs
+++ b/components/sched/src/rank.rs
@@ -59,7 +59,7 @@
         let Some(entry) = self.jobs.get(&unit.job) else { return false };
         let Some(queue) = self.queues.get(&entry.queue) else { return false };
         let waited = clock.now.saturating_sub(self.counted_since(clock, entry, unit.round));
-        waited + remaining(entry, unit.round) + time <= objective(&entry.job, queue)
+        waited + remaining_critical_path(entry, unit.round) + time <= objective(&entry.job, queue)
     }
 
     /// The time from which the duration of a round counts: its due time, or the acceptance of an unscheduled job.
@@ -74,7 +74,7 @@
         let counted_since = self.counted_since(clock, entry, round);
         let objective = objective(&entry.job, queue);
         let waited = clock.now.saturating_sub(counted_since);
-        let tier = if waited + remaining(entry, round) <= objective {
+        let tier = if waited + remaining_critical_path(entry, round) <= objective {
             Tier::OnTime
         } else if waited <= objective * OVERDUE_FACTOR {
             Tier::Late
@@ -87,7 +87,7 @@
 
 /// Target for the duration of a job in a queue.
 pub(crate) fn objective(job: &Job, queue: &Queue) -> Duration {
-    stretched(chain(job), queue.stretch) + queue.objective
+    stretched(critical_path(job), queue.stretch) + queue.objective
 }
 
 /// Multiplies a duration by a factor from the configuration; an invalid factor counts as 1.
@@ -96,7 +96,7 @@
 }
 
 /// Duration of the critical path, by the caller's estimates.
-fn chain(job: &Job) -> Duration {
+fn critical_path(job: &Job) -> Duration {
     let mut ends: Vec<Duration> = Vec::new();
     for step in &job.steps {
         let start = step.after.iter().filter_map(|on| ends.get(usize::from(*on))).max().copied().unwrap_or_default();
@@ -106,7 +106,7 @@
 }
 
 /// Duration of the critical path through the steps that aren't done yet.
-fn remaining(entry: &Entry, round: u32) -> Duration {
+fn remaining_critical_path(entry: &Entry, round: u32) -> Duration {
     let mut ends: Vec<Duration> = Vec::new();
     for (number, step) in entry.job.steps.iter().enumerate() {
         let start = step.after.iter().filter_map(|on| ends.get(usize::from(*on))).max().copied().unwrap_or_default();
--- a/components/sched/src/records.rs
+++ b/components/sched/src/records.rs
@@ -41,7 +41,7 @@
         self.durable = self.durable.max(position);
         let durable = self.durable;
         self.workers.values_mut().for_each(|worker| worker.acknowledge(durable));
-        self.send_decided(clock);
+        self.send_durable_starts(clock);
     }
 
     /// Removes a job whose record wasn't handed to the log yet. Returns whether that was the case.
--- a/components/sched/src/reports.rs
+++ b/components/sched/src/reports.rs
@@ -7,7 +7,7 @@
 use work::{Attempt, Outcome, Record, Step, Task, Unit};
 
 use crate::engine::{Clock, Engine};
-use crate::entry::{self, Begun, Placement};
+use crate::entry::{self, Placement, StartState};
 use crate::quota::Charge;
 use crate::worker::{Contact, End, MAX_CONSECUTIVE_FAILURES, Phase, Report, Run, RunOutcome, Running};
 
@@ -36,14 +36,14 @@
 
     /// Processes the end of a run. It may be acknowledged once the records that result from it are durable.
     fn ended(&mut self, clock: Clock, id: &str, end: &End) {
-        self.begin(end.task);
+        self.mark_started(end.task);
         if let Some(worker) = self.workers.get_mut(id) {
             worker.taken = end.number;
         }
-        if !end.saved.is_empty() {
-            self.save_checkpoint(end.task, &end.saved);
+        if !end.checkpoint.is_empty() {
+            self.save_checkpoint(end.task, &end.checkpoint);
         }
-        match end.how {
+        match end.outcome {
             RunOutcome::Done => self.done(clock, id, end.task, end.attempt),
             RunOutcome::Failed => self.failed(clock, id, end.task, end.attempt),
             RunOutcome::Stopped | RunOutcome::Lapsed | RunOutcome::Broken | RunOutcome::Alone => {}
@@ -60,21 +60,21 @@
     }
 
     /// Records that a task of the job has started.
-    pub(crate) fn begin(&mut self, task: Task) {
+    pub(crate) fn mark_started(&mut self, task: Task) {
         if let Some(entry) = self.jobs.get_mut(&task.unit.job) {
-            entry.begun = Begun::Yes;
+            entry.started = StartState::Yes;
         }
     }
 
     /// Stores the last checkpoint of a task, and of its gang if it belongs to one.
-    fn save_checkpoint(&mut self, task: Task, saved: &str) {
+    fn save_checkpoint(&mut self, task: Task, checkpoint: &str) {
         let gang = self.step(task).is_some_and(|step| step.gang);
         let Some(unit) = self.unit_mut(task.unit) else { return };
         if gang {
-            unit.saved = saved.to_owned();
+            unit.checkpoint = checkpoint.to_owned();
         }
         if let Some(state) = unit.tasks.get_mut(task.index as usize) {
-            state.saved = saved.to_owned();
+            state.checkpoint = checkpoint.to_owned();
         }
     }
 
@@ -157,7 +157,7 @@
 
     /// Processes a run that a worker lists, whether it is known or not.
     fn running(&mut self, clock: Clock, id: &str, row: &Running) {
-        self.begin(row.task);
+        self.mark_started(row.task);
         let Some(worker) = self.workers.get_mut(id) else { return };
         let tried = worker.suspects;
         let Some(run) = worker.mark_listed(clock.now, row.task, row.attempt) else { return self.adopt(clock, id, row) };
@@ -170,8 +170,8 @@
         {
             state.mark_survived();
         }
-        if !row.saved.is_empty() {
-            self.save_checkpoint(row.task, &row.saved);
+        if !row.checkpoint.is_empty() {
+            self.save_checkpoint(row.task, &row.checkpoint);
         }
     }
 
@@ -187,17 +187,17 @@
                 .is_some_and(|task| task.phase == entry::Phase::Pending);
         let mark = self.next_mark();
         let charge = self.charge(row.task, need);
-        let stoppable = self.step(row.task).and_then(|step| self.stoppable_for(row.task.unit, step));
+        let preemptible = self.step(row.task).and_then(|step| self.preemption_priority(row.task.unit, step));
         let Some(worker) = self.workers.get_mut(id) else { return };
         let run = Run {
             phase: Phase::Running(mark),
             need,
             charge,
-            stoppable,
+            preemptible,
             percent: row.percent,
             progressed_at: clock.now,
             decided_at: clock.now,
-            begun: Some(clock.now),
+            started_at: Some(clock.now),
             listed: true,
             seen_running: true,
             suspect: false,
@@ -211,8 +211,8 @@
         if let Some(unit) = self.unit_mut(row.task.unit) {
             unit.set_phase(row.task.index as usize, held);
         }
-        if !row.saved.is_empty() {
-            self.save_checkpoint(row.task, &row.saved);
+        if !row.checkpoint.is_empty() {
+            self.save_checkpoint(row.task, &row.checkpoint);
         }
     }
 
--- a/components/sched/src/restart.rs
+++ b/components/sched/src/restart.rs
@@ -31,7 +31,7 @@
         let listed = report.listed();
         let vanished = worker.vanished(&listed, report.mark);
         let mut runs: Vec<LostRun> =
-            left.into_iter().filter(|lost| lost.begun && !listed.contains(&lost.key())).collect();
+            left.into_iter().filter(|lost| lost.started && !listed.contains(&lost.key())).collect();
         if vanished.is_empty() && runs.is_empty() && !worker.has_repeated_end_number(report) {
             return false;
         }
@@ -59,7 +59,7 @@
     /// Runs that had started, must be reflected in a report with this mark, and aren't listed there.
     fn vanished(&self, listed: &BTreeSet<(Task, Attempt)>, mark: u64) -> BTreeSet<(Task, Attempt)> {
         let went = |(key, run): &(&(Task, Attempt), &Run)| {
-            run.begun.is_some() && must_show(run.phase, mark) && !listed.contains(*key)
+            run.started_at.is_some() && must_show(run.phase, mark) && !listed.contains(*key)
         };
         self.runs.iter().filter(went).map(|(key, _)| *key).collect()
     }
--- a/components/sched/src/restore.rs
+++ b/components/sched/src/restore.rs
@@ -9,7 +9,7 @@
 
 use crate::crashes::Crash;
 use crate::engine::{Clock, Engine, Owner};
-use crate::entry::{Accepted, Begun, Ended, Entry, Inherited, Phase, TaskState, UnitState};
+use crate::entry::{Accepted, Ended, Entry, Inherited, Phase, StartState, TaskState, UnitState};
 use crate::lost_runs::LostRun;
 use crate::quota::Charge;
 use crate::worker::{Worker, WorkerInfo};
@@ -143,12 +143,12 @@
     }
 
     /// The state of a unit that a record names. Its round has been opened, and its job has started or was about to.
-    fn replay_unit(&mut self, unit: Unit, begun: Begun) -> Option<&mut UnitState> {
+    fn replay_unit(&mut self, unit: Unit, started: StartState) -> Option<&mut UnitState> {
         let entry = self.jobs.get_mut(&unit.job)?;
         while entry.opened <= unit.round && entry.opened < entry.job.rounds() {
             entry.open(entry.opened);
         }
-        entry.begun = begun.max(entry.begun);
+        entry.started = started.max(entry.started);
         entry.units.get_mut(&(unit.round, unit.step))
     }
 
@@ -156,7 +156,7 @@
         if let Some(charge) = self.jobs.get(&task.unit.job).and_then(|entry| entry.charge(task.unit.step)) {
             self.quota.replay_run(task, run.attempt, &run.worker, charge);
         }
-        let Some(unit) = self.replay_unit(task.unit, Begun::Placed) else { return };
+        let Some(unit) = self.replay_unit(task.unit, StartState::Placed) else { return };
         if let Some(state) = unit.tasks.get_mut(task.index as usize)
             && state.phase == Phase::Pending
         {
@@ -167,7 +167,7 @@
 
     fn replay_done(&mut self, task: Task) {
         let gang = self.step(task).is_some_and(|step| step.gang);
-        let Some(unit) = self.replay_unit(task.unit, Begun::Yes) else { return };
+        let Some(unit) = self.replay_unit(task.unit, StartState::Yes) else { return };
         let done = unit.done_with(task.index, gang);
         done.clone().for_each(|index| unit.set_phase(index, Phase::Done));
         done.for_each(|index| self.quota.replay_done(Task { index: index as u32, ..task }));
@@ -176,7 +176,7 @@
     fn replay_failed(&mut self, task: Task, attempt: u64) {
         self.quota.replay_failed(task, attempt);
         let gang = self.step(task).is_some_and(|step| step.gang);
-        let Some(unit) = self.replay_unit(task.unit, Begun::Yes) else { return };
+        let Some(unit) = self.replay_unit(task.unit, StartState::Yes) else { return };
         let Some(failed) = unit.failures_mut(task.index, gang) else { return };
         if !failed.contains(&attempt) {
             failed.push(attempt);
@@ -184,7 +184,7 @@
     }
 
     fn replay_crash(&mut self, task: Task, crash: Crash) {
-        let Some(unit) = self.replay_unit(task.unit, Begun::Yes) else { return };
+        let Some(unit) = self.replay_unit(task.unit, StartState::Yes) else { return };
         if let Some(state) = unit.tasks.get_mut(task.index as usize) {
             state.record_crash(crash);
         }
@@ -199,7 +199,7 @@
         }
         let Some(entry) = self.jobs.get_mut(&id) else { return };
         entry.outcome = Some(Ended { outcome, position: 0, at: clock.now });
-        entry.begun = Begun::Yes;
+        entry.started = StartState::Yes;
         entry.release_memory();
         self.live.remove(&id);
     }
--- a/components/sched/src/room.rs
+++ b/components/sched/src/room.rs
@@ -10,7 +10,7 @@
 use crate::entry::{Phase, TaskState, UnitState};
 use crate::preempt::Claim;
 use crate::reports::taken_room;
-use crate::worker::{Health, Pauses, Worker, WorkerInfo};
+use crate::worker::{ExtraDelays, Health, Worker, WorkerInfo};
 
 /// Upper bound on the tasks that are counted for one worker: more than fit on any.
 const MAX_SLOTS: u32 = 1000;
@@ -66,15 +66,15 @@
 
 /// What a worker has to offer. That is nothing while it is on probation with a run, or while a suspect task is tried
 /// there.
-fn offer(worker: &Worker, now: Duration, pauses: Pauses) -> Option<(Resources, Health)> {
-    let health = worker.health(now, pauses);
+fn offer(worker: &Worker, now: Duration, extra_delays: ExtraDelays) -> Option<(Resources, Health)> {
+    let health = worker.health(now, extra_delays);
     let tried = health == Health::Probation && !worker.runs.is_empty();
     (!tried && worker.suspects == 0).then_some((worker.free, health))
 }
 
 impl Place {
-    fn new(id: &WorkerId, worker: &Worker, now: Duration, pauses: Pauses) -> Option<Place> {
-        let (free, health) = offer(worker, now, pauses)?;
+    fn new(id: &WorkerId, worker: &Worker, now: Duration, extra_delays: ExtraDelays) -> Option<Place> {
+        let (free, health) = offer(worker, now, extra_delays)?;
         let info = worker.info.clone();
         let (new_runs, runs) = (worker.new_runs, worker.runs.len());
         Some(Place { id: id.clone(), info, free, open: free, claimed: Resources::ZERO, health, new_runs, runs })
@@ -123,7 +123,7 @@
     }
 
     /// Whether the worker is in the queue's pool and has the step's label.
-    pub(crate) fn suits(&self, queue: &Queue, step: &Step) -> bool {
+    pub(crate) fn is_suitable(&self, queue: &Queue, step: &Step) -> bool {
         self.info.pool == queue.pool && (step.label.is_empty() || self.info.labels.contains(&step.label))
     }
 
@@ -138,9 +138,9 @@
     pub(crate) fn new<'a>(
         workers: impl Iterator<Item = (&'a WorkerId, &'a Worker)>,
         now: Duration,
-        pauses: Pauses,
+        extra_delays: ExtraDelays,
     ) -> Room {
-        let places: Vec<Place> = workers.filter_map(|(id, worker)| Place::new(id, worker, now, pauses)).collect();
+        let places: Vec<Place> = workers.filter_map(|(id, worker)| Place::new(id, worker, now, extra_delays)).collect();
         let index = places.iter().enumerate().map(|(index, place)| (place.id.clone(), index)).collect();
         let mut room = Room { places, index, largest: Resources::ZERO, cores: Vec::new() };
         room.finish();
@@ -152,11 +152,11 @@
         &mut self,
         workers: impl Iterator<Item = (&'a WorkerId, &'a Worker)>,
         now: Duration,
-        pauses: Pauses,
+        extra_delays: ExtraDelays,
     ) -> bool {
         let mut places = self.places.iter_mut();
         for (id, worker) in workers {
-            let Some((free, health)) = offer(worker, now, pauses) else { continue };
+            let Some((free, health)) = offer(worker, now, extra_delays) else { continue };
             let Some(place) = places.next().filter(|place| place.id == *id) else { return false };
             place.set_open(free);
             place.health = health;
@@ -180,11 +180,11 @@
             let troubled = self.places.iter_mut().filter(|place| place.health == Health::Avoided);
             troubled.for_each(|place| place.set_open(Resources::ZERO));
         }
-        self.measure();
+        self.update_largest();
     }
 
     /// Updates the upper bound on the room of any place.
-    fn measure(&mut self) {
+    fn update_largest(&mut self) {
         let most = |of: fn(&Resources) -> u32| self.places.iter().map(|place| of(&place.free)).max().unwrap_or(0);
         self.largest = Resources {
             cpu_milli: most(|free| free.cpu_milli),
@@ -238,13 +238,13 @@
             };
             place.free = place.free_after(&Resources::ZERO);
         }
-        self.measure();
+        self.update_largest();
     }
 
     /// Prevents further starts on a worker in this pass.
     pub(crate) fn close(&mut self, place: usize) {
         self.places[place].set_open(Resources::ZERO);
-        self.measure();
+        self.update_largest();
     }
 
     /// Chooses workers for the pending tasks of a unit: for as many tasks as possible, or for all tasks of a gang or
@@ -335,7 +335,7 @@
     fn allowed(&self, now: Duration, state: &UnitState, step: &Step, queue: &Queue) -> Vec<usize> {
         let fits = |index: &usize| {
             let place = &self.places[*index];
-            place.suits(queue, step) && place.tasks(state, step) > 0
+            place.is_suitable(queue, step) && place.tasks(state, step) > 0
         };
         match queue.advice {
             None => (0..self.places.len()).filter(fits).collect(),
--- a/components/sched/src/stall.rs
+++ b/components/sched/src/stall.rs
@@ -32,7 +32,7 @@
     /// Number of runs of the unit that were ordered and that no worker lists.
     pub unlisted: usize,
     /// The first few of them, as `TASK on WORKER`.
-    pub named: Vec<String>,
+    pub run_names: Vec<String>,
     /// Why tasks wait; empty if none does.
     pub why: String,
 }
@@ -78,9 +78,9 @@
         if unlisted == 0 && !self.room.may_fit(&need) {
             return None;
         }
-        let named = state.placements(unit).take(MAX_NAMED).map(|run| format!("{} on {}", run.task, run.worker));
+        let names = state.placements(unit).take(MAX_NAMED).map(|run| format!("{} on {}", run.task, run.worker));
         let why = if state.pending == 0 { String::new() } else { self.wait_reason(clock, entry, unit, state) };
-        let stall = Stall { unit, lasted, waiting: state.pending, unlisted, named: named.collect(), why };
+        let stall = Stall { unit, lasted, waiting: state.pending, unlisted, run_names: names.collect(), why };
         if let Some(idle) = self.idle_since.get_mut(&id) {
             idle.reported = true;
         }
--- a/components/sched/src/worker.rs
+++ b/components/sched/src/worker.rs
@@ -63,7 +63,7 @@
     pub task: Task,
     pub attempt: Attempt,
     /// Its last checkpoint; empty for none.
-    pub saved: String,
+    pub checkpoint: String,
     /// Progress in percent.
     pub percent: u8,
 }
@@ -106,9 +106,9 @@
     pub number: u64,
     pub task: Task,
     pub attempt: Attempt,
-    pub how: RunOutcome,
+    pub outcome: RunOutcome,
     /// Its last checkpoint; empty for none.
-    pub saved: String,
+    pub checkpoint: String,
 }
 
 /// A worker's answer to the renewal of its leases.
@@ -153,14 +153,14 @@
     /// What it counts against its workspace's limit.
     pub charge: Option<Charge>,
     /// Priority of its queue, if the run may be preempted because it resumes from a checkpoint.
-    pub stoppable: Option<u32>,
+    pub preemptible: Option<u32>,
     pub percent: u8,
     /// When the reported progress last changed.
     pub progressed_at: Duration,
     /// When the start was decided, or when the run was first seen on the worker.
     pub decided_at: Duration,
     /// When the worker confirmed the start, or first listed the run.
-    pub begun: Option<Duration>,
+    pub started_at: Option<Duration>,
     /// Whether the worker has listed it. A mere answer to its start may come from the worker's next incarnation.
     pub listed: bool,
     /// Whether the worker has listed it at least [`STARTUP_WINDOW`] after its start.
@@ -195,7 +195,7 @@
 
 /// By how much the renewal intervals exceed [`crate::RENEWAL_INTERVAL`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Pauses {
+pub(crate) struct ExtraDelays {
     /// For workers without runs.
     pub idle: Duration,
     /// For workers with runs.
@@ -267,12 +267,12 @@
         self.avoid_until = self.avoid_until.max(now + pause);
     }
 
-    pub(crate) fn health(&self, now: Duration, pauses: Pauses) -> Health {
+    pub(crate) fn health(&self, now: Duration, extra_delays: ExtraDelays) -> Health {
         if self.avoid_until > now {
             Health::Avoided
         } else if self.failures >= MAX_CONSECUTIVE_FAILURES && now < self.avoid_until + PROBATION {
             Health::Probation
-        } else if self.failures > 0 || self.is_stuck(now, pauses.busy) {
+        } else if self.failures > 0 || self.is_stuck(now, extra_delays.busy) {
             Health::Degraded
         } else {
             Health::Good
@@ -299,8 +299,8 @@
     pub(crate) fn mark_listed(&mut self, now: Duration, task: Task, attempt: Attempt) -> Option<&mut Run> {
         let run = self.runs.get_mut(&(task, attempt))?;
         run.listed = true;
-        let begun = *run.begun.get_or_insert(now);
-        if !run.seen_running && now.saturating_sub(begun) >= STARTUP_WINDOW {
+        let started_at = *run.started_at.get_or_insert(now);
+        if !run.seen_running && now.saturating_sub(started_at) >= STARTUP_WINDOW {
             run.seen_running = true;
             self.new_runs -= 1;
             self.suspects -= u32::from(run.suspect);
@@ -312,9 +312,9 @@
     ///
     /// Entries of the platform's list that expired during a store outage reappear a little later; a worker that
     /// answers meanwhile stays in use.
-    pub(crate) fn usable(&self, now: Duration, durable: u64, pauses: Pauses) -> bool {
+    pub(crate) fn usable(&self, now: Duration, durable: u64, extra_delays: ExtraDelays) -> bool {
         let listed = self.unlisted_since.is_none_or(|since| now.saturating_sub(since) < LIST_GRACE);
-        let pause = if self.runs.is_empty() { pauses.idle } else { pauses.busy };
+        let pause = if self.runs.is_empty() { extra_delays.idle } else { extra_delays.busy };
         let responsive = now.saturating_sub(self.last_heard) < SILENCE_TIMEOUT + pause;
         listed && responsive && self.contact == Contact::Held && self.info.is_open() && self.position <= durable
     }
--- a/components/sched/src/worker_list.rs
+++ b/components/sched/src/worker_list.rs
@@ -41,7 +41,7 @@
                 }
             };
         }
-        self.take_list(clock, present);
+        self.apply_list(clock, present);
     }
 
     /// How the entry with this id relates to the known workers.
@@ -68,7 +68,7 @@
 
     /// Processes the incarnations that are listed now. Those whose entries are stale
     /// (`None`) stay as they are.
-    fn take_list(&mut self, clock: Clock, present: BTreeMap<WorkerId, Option<WorkerInfo>>) {
+    fn apply_list(&mut self, clock: Clock, present: BTreeMap<WorkerId, Option<WorkerInfo>>) {
         for (id, worker) in &mut self.workers {
             match present.contains_key(id) {
                 true => worker.unlisted_since = None,
@@ -77,7 +77,7 @@
                 }
             }
         }
-        let followed = self.followed(&present);
+        let replaced = self.replaced_incarnations(&present);
         let former: BTreeSet<WorkerId> = present
             .iter()
             .filter(|(id, info)| info.as_ref().is_some_and(|info| self.is_former_incarnation(id, info)))
@@ -92,7 +92,7 @@
                 self.add_or_update_worker(clock, id, info);
             }
         }
-        followed.iter().for_each(|id| self.end_worker(clock, id, WorkerEndReason::Followed));
+        replaced.iter().for_each(|id| self.end_worker(clock, id, WorkerEndReason::Followed));
     }
 
     /// Unlisted incarnations that a later one, under their name or at their address, has replaced.
@@ -100,7 +100,7 @@
     /// An entry may be missing, late, or that of an earlier incarnation while its worker goes on. Only times of
     /// birth, which come from the clock of one machine, prove the order of incarnations. Where they are unknown, the
     /// next answer from the address shows which incarnation is there.
-    fn followed(&self, present: &BTreeMap<WorkerId, Option<WorkerInfo>>) -> Vec<WorkerId> {
+    fn replaced_incarnations(&self, present: &BTreeMap<WorkerId, Option<WorkerInfo>>) -> Vec<WorkerId> {
         let missing: Vec<(&WorkerId, &Worker)> =
             self.workers.iter().filter(|(id, _)| !present.contains_key(*id)).collect();
         if missing.is_empty() {
@@ -114,12 +114,12 @@
                 *known = born.max(*known);
             }
         }
-        let followed = |(id, worker): &(&WorkerId, &Worker)| {
+        let is_replaced = |(id, worker): &(&WorkerId, &Worker)| {
             let WorkerIncarnation { name, born } = WorkerIncarnation::from_id(id);
             let later = |place: &str| latest.get(place).is_some_and(|latest| born.is_some_and(|born| *latest > born));
             later(name) || later(&worker.info.address)
         };
-        missing.into_iter().filter(followed).map(|(id, _)| id.clone()).collect()
+        missing.into_iter().filter(is_replaced).map(|(id, _)| id.clone()).collect()
     }
 
     /// Whether an entry shows an incarnation that was known to have ended before another one was found at its
--- a/components/sched/tests/decisions/cell/mod.rs
+++ b/components/sched/tests/decisions/cell/mod.rs
@@ -127,7 +127,8 @@
     pub fn end_beside(&mut self, worker: &str, start: &Start, how: RunOutcome, others: &[Running]) {
         let number = self.numbers.entry(worker.to_owned()).or_default();
         *number += 1;
-        let end = End { number: *number, task: start.task, attempt: start.attempt, how, saved: String::new() };
+        let end =
+            End { number: *number, task: start.task, attempt: start.attempt, outcome: how, checkpoint: String::new() };
         self.report(worker, others, &[end]);
         self.write();
     }
@@ -139,7 +140,7 @@
 }
 
 pub fn running(start: &Start) -> Running {
-    Running { task: start.task, attempt: start.attempt, saved: String::new(), percent: 10 }
+    Running { task: start.task, attempt: start.attempt, checkpoint: String::new(), percent: 10 }
 }
 
 /// A step of so many tasks with so many cores each.
--- a/components/sched/tests/decisions/doubt.rs
+++ b/components/sched/tests/decisions/doubt.rs
@@ -115,7 +115,7 @@
         cell.started(worker, start);
         cell.report(worker, &[running(start)], &[]);
     }
-    assert_eq!(cell.engine.busy_pause(), Duration::from_secs(2));
+    assert_eq!(cell.engine.busy_renewal_interval(), Duration::from_secs(2));
     cell.now += Duration::from_millis(1900);
     cell.submit(2, "urgent", vec![step(1, 6)]);
     assert_eq!(cell.starts().len(), 1);
--- a/components/sched/tests/decisions/main.rs
+++ b/components/sched/tests/decisions/main.rs
@@ -116,8 +116,13 @@
     let mut cell = Cell::new(1).ready();
     cell.submit(1, "urgent", vec![step(1, 1)]);
     let (worker, start) = cell.starts().remove(0);
-    let end =
-        sched::End { number: 1, task: start.task, attempt: start.attempt, how: RunOutcome::Done, saved: String::new() };
+    let end = sched::End {
+        number: 1,
+        task: start.task,
+        attempt: start.attempt,
+        outcome: RunOutcome::Done,
+        checkpoint: String::new(),
+    };
     cell.report(&worker, &[], &[end]);
     assert_eq!(cell.engine.acked(&worker), 0);
     assert_eq!(cell.engine.last_processed_end(&worker), 1, "when it is listed again it is no news");
--- a/components/sched/tests/decisions/quota.rs
+++ b/components/sched/tests/decisions/quota.rs
@@ -120,8 +120,13 @@
     let (worker, start) = before.starts().remove(0);
     before.engine.start_answered(before.clock(), &worker, start.task, start.attempt, OrderOutcome::Unknown);
     let other = before.infos.keys().find(|id| **id != worker).cloned().expect("two workers");
-    let done =
-        sched::End { number: 1, task: start.task, attempt: start.attempt, how: RunOutcome::Done, saved: String::new() };
+    let done = sched::End {
+        number: 1,
+        task: start.task,
+        attempt: start.attempt,
+        outcome: RunOutcome::Done,
+        checkpoint: String::new(),
+    };
     before.report(&other, &[], &[done]);
     before.write();
     let written = before.log.len();
--- a/components/sched/tests/decisions/stall.rs
+++ b/components/sched/tests/decisions/stall.rs
@@ -25,7 +25,7 @@
     let found = stalls(&mut cell, LONG);
     assert_eq!(found.len(), 1);
     assert_eq!(
-        (found[0].waiting, found[0].unlisted, found[0].named.as_slice()),
+        (found[0].waiting, found[0].unlisted, found[0].run_names.as_slice()),
         (0, 1, [format!("{} on w0", start.task)].as_slice())
     );
     assert_eq!(cell.engine.stalled_count(), 1);
