--- a/components/model/src/reason.rs
+++ b/components/model/src/reason.rs
@@ -1,4 +1,4 @@
-//! Why something waits, was refused, parked or stopped. Shown by `why`.
+//! Why a task or workload is waiting, was rejected, parked or stopped. Shown by the `why` command.
 
 use std::fmt;
 use std::time::Duration;
@@ -7,95 +7,90 @@
 
 use crate::{HostId, Resources, TeamId, WorkerId};
 
-/// A typed reason; its `Display` is the sentence that operators read.
+/// A typed reason. Its `Display` output is the sentence shown to operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Reason {
-    /// It has not been looked at yet.
+    /// Accepted, but not considered by the scheduler yet.
     NotLookedAt,
-    /// No worker has room now; the best one is named with what it lacks.
+    /// No worker has enough free resources now.
     NoRoom {
-        /// The worker that came nearest.
+        /// The worker that could cover the largest part of the demand.
         nearest: WorkerId,
-        /// What is free there.
+        /// Free resources of that worker.
         free: Resources,
     },
-    /// There is no live worker in the data centre.
+    /// The data centre has no live worker.
     NoWorkers,
-    /// No worker is large enough, even when empty.
+    /// No worker is large enough, even if it were empty.
     NeverFits {
-        /// The worker that came nearest.
+        /// The worker that could cover the largest part of the demand.
         largest: WorkerId,
-        /// All that it offers.
+        /// Total capacity of that worker.
         capacity: Resources,
-        /// What was asked.
+        /// Resources asked for by one task.
         asked: Resources,
     },
-    /// The gang needs room for all of its tasks at once.
+    /// There is not enough room for all tasks of the gang at once.
     GangIncomplete {
-        /// Tasks that would fit now.
+        /// Number of tasks that fit now.
         fitting: u32,
-        /// Tasks that must start together.
+        /// Number of tasks that must start together.
         needed: u32,
     },
     /// The team has used up its quota.
     OverQuota {
-        /// The team.
         team: TeamId,
-        /// Its quota in this data centre.
+        /// Quota of the team in this data centre.
         quota: Resources,
     },
-    /// The last attempt may still be running somewhere.
+    /// The previous attempt may still be running.
     InDoubt {
-        /// The worker that can't be accounted for.
+        /// The unreachable worker that may still run it.
         worker: WorkerId,
     },
-    /// Failed attempts are followed by a pause.
+    /// The next attempt is delayed after failures.
     BackOff {
-        /// Failures in a row.
+        /// Number of consecutive failures.
         failures: u32,
-        /// Until the next attempt.
+        /// Time until the next attempt.
         wait: Duration,
     },
-    /// It failed on several workers and won't be tried again until it is changed.
+    /// It failed on several workers and is not retried until an operator changes it.
     Parked {
-        /// Failures in a row.
+        /// Number of consecutive failures.
         failures: u32,
-        /// Number of different workers.
+        /// Number of different workers on which it failed.
         workers: u32,
-        /// The last failure, in the worker's words.
+        /// Error message of the last failure, from the worker.
         last: String,
     },
     /// No live host owns the partition yet.
     NoOwner,
-    /// The owner is rebuilding its view after a takeover.
+    /// The new owner of the partition is rebuilding its state after a takeover.
     Recovering {
         /// A host or worker that has not answered yet.
         waiting_for: HostId,
     },
-    /// Stopped to make room for urgent work.
+    /// Stopped to free resources for urgent work.
     Preempted,
-    /// An operator cancelled it.
+    /// Cancelled by an operator.
     Cancelled,
-    /// It runs, on the named worker.
     Running {
-        /// The worker.
         worker: WorkerId,
     },
-    /// It is being started on the named worker.
     Starting {
-        /// The worker.
         worker: WorkerId,
     },
-    /// It ran to its end.
+    /// Ran to completion.
     Finished,
 }
 
 impl fmt::Display for Reason {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Reason::NotLookedAt => write!(out, "accepted, not looked at yet"),
+            Reason::NotLookedAt => write!(out, "accepted, not scheduled yet"),
             Reason::NoRoom { nearest, free } => {
-                write!(out, "no worker has room now; {nearest} comes nearest with {free} free")
+                write!(out, "no worker has room now; the closest is {nearest} with {free} free")
             }
             Reason::NoWorkers => write!(out, "the data centre has no live worker"),
             Reason::NeverFits { largest, capacity, asked } => {
@@ -106,7 +101,10 @@
             }
             Reason::OverQuota { team, quota } => write!(out, "team {team} has used up its quota of {quota}"),
             Reason::InDoubt { worker } => {
-                write!(out, "may still run on {worker}, which can't be reached; waits until it has surely ended")
+                write!(
+                    out,
+                    "may still run on {worker}, which can't be reached; waits until it is certain to have ended"
+                )
             }
             Reason::BackOff { failures, wait } => {
                 write!(out, "failed {failures} times in a row; next attempt in {wait:.1?}")
@@ -116,30 +114,30 @@
             }
             Reason::NoOwner => write!(out, "no live host owns its partition yet"),
             Reason::Recovering { waiting_for } => {
-                write!(out, "its owner is rebuilding its view and waits for {waiting_for}")
+                write!(out, "its owner is rebuilding its state and waits for {waiting_for}")
             }
             Reason::Preempted => write!(out, "stopped to make room for urgent work; runs again"),
             Reason::Cancelled => write!(out, "cancelled by an operator"),
             Reason::Running { worker } => write!(out, "running on {worker}"),
-            Reason::Starting { worker } => write!(out, "being started on {worker}"),
-            Reason::Finished => write!(out, "ran to its end"),
+            Reason::Starting { worker } => write!(out, "starting on {worker}"),
+            Reason::Finished => write!(out, "ran to completion"),
         }
     }
 }
 
 impl Reason {
-    /// What would change it, for the operator; empty when nothing needs to.
+    /// What the operator can do about it; empty if nothing is needed.
     pub fn remedy(&self) -> &'static str {
         match self {
             Reason::NoRoom { .. } | Reason::GangIncomplete { .. } => {
-                "it starts when work ends; or cancel patient work, or add workers"
+                "starts when other work ends; to speed it up, cancel patient work or add workers"
             }
             Reason::NoWorkers => "add workers or check the platform's host list",
             Reason::NeverFits { .. } => "ask for less per task, or add a larger worker",
             Reason::OverQuota { .. } => "raise the quota, or cancel other work of the team",
-            Reason::InDoubt { .. } => "bring the worker back, or have the host list drop it",
-            Reason::Parked { .. } => "mend it and submit or change it again",
-            Reason::NoOwner | Reason::Recovering { .. } => "wait; see `show hosts` for hosts that are away",
+            Reason::InDoubt { .. } => "bring the worker back, or remove it from the host list",
+            Reason::Parked { .. } => "fix it, then submit or change it again",
+            Reason::NoOwner | Reason::Recovering { .. } => "wait; `show hosts` lists the hosts that are not live",
             _ => "",
         }
     }
--- a/components/model/src/resources.rs
+++ b/components/model/src/resources.rs
@@ -1,4 +1,4 @@
-//! What a worker offers and what a task needs.
+//! Amounts of resources: the capacity of a worker or the demand of a task.
 
 use std::fmt;
 
@@ -16,10 +16,9 @@
 }
 
 impl Resources {
-    /// No resources at all.
     pub const ZERO: Resources = Resources { cpu_milli: 0, memory_mib: 0, accelerators: 0 };
 
-    /// Creates an amount from whole cores, MiB and accelerators.
+    /// Creates an amount from whole cores, MiB of memory and accelerators.
     pub const fn new(cores: u32, memory_mib: u32, accelerators: u32) -> Resources {
         Resources { cpu_milli: cores * 1000, memory_mib, accelerators }
     }
@@ -31,7 +30,7 @@
             && self.accelerators <= other.accelerators
     }
 
-    /// The sum, or `None` when a dimension overflows.
+    /// The sum, or `None` if a dimension overflows.
     pub fn checked_add(&self, other: &Resources) -> Option<Resources> {
         Some(Resources {
             cpu_milli: self.cpu_milli.checked_add(other.cpu_milli)?,
@@ -40,7 +39,7 @@
         })
     }
 
-    /// The sum with each dimension capped at its largest value.
+    /// The sum, with each dimension capped at `u32::MAX`.
     pub fn saturating_add(&self, other: &Resources) -> Resources {
         Resources {
             cpu_milli: self.cpu_milli.saturating_add(other.cpu_milli),
@@ -49,7 +48,7 @@
         }
     }
 
-    /// So many times the amount, each dimension capped at its largest value.
+    /// The amount multiplied by `count`, with each dimension capped at `u32::MAX`.
     pub fn saturating_mul(&self, count: usize) -> Resources {
         let count = u32::try_from(count).unwrap_or(u32::MAX);
         Resources {
@@ -59,7 +58,7 @@
         }
     }
 
-    /// The difference, or `None` when `other` does not fit in `self`.
+    /// The difference, or `None` if `other` does not fit in `self`.
     pub fn checked_sub(&self, other: &Resources) -> Option<Resources> {
         Some(Resources {
             cpu_milli: self.cpu_milli.checked_sub(other.cpu_milli)?,
@@ -68,7 +67,7 @@
         })
     }
 
-    /// The difference with each dimension floored at zero.
+    /// The difference, with each dimension at least zero.
     pub fn saturating_sub(&self, other: &Resources) -> Resources {
         Resources {
             cpu_milli: self.cpu_milli.saturating_sub(other.cpu_milli),
@@ -77,7 +76,7 @@
         }
     }
 
-    /// The larger in each dimension.
+    /// The maximum of each dimension.
     pub fn max(&self, other: &Resources) -> Resources {
         Resources {
             cpu_milli: self.cpu_milli.max(other.cpu_milli),
@@ -86,9 +85,9 @@
         }
     }
 
-    /// The largest share, from 0 to 1, that `self` takes of any dimension of `capacity`.
+    /// The dominant share: the largest fraction that `self` takes of any dimension of `capacity`.
     ///
-    /// A dimension that the capacity lacks counts only when it is asked for, and then as 1.
+    /// A dimension that `capacity` does not have counts as 1 if `self` asks for it, and as 0 otherwise.
     pub fn dominant_share(&self, capacity: &Resources) -> f64 {
         let shares = [
             share(self.cpu_milli, capacity.cpu_milli),
--- a/components/model/src/task.rs
+++ b/components/model/src/task.rs
@@ -1,4 +1,4 @@
-//! One task of a workload, and its attempts.
+//! Ids of tasks and of the attempts to run them, and how attempts end.
 
 use std::fmt;
 
@@ -6,34 +6,32 @@
 
 use crate::{DataCentreId, Epoch, WorkloadId};
 
-/// Names a task in the cell.
+/// Id of a task, unique in the cell.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Id {
-    /// The workload that it belongs to.
     pub workload: WorkloadId,
-    /// Tells the workload from an earlier one with the same name; larger than any before.
+    /// Generation of the workload: larger than that of any earlier workload of the same name.
     pub life: u32,
-    /// The data centre that its share was given to.
+    /// The data centre that the task was assigned to.
     pub data_centre: DataCentreId,
-    /// Position in that share, from 0.
+    /// Index among the workload's tasks in that data centre, from 0.
     pub index: u32,
 }
 
 impl fmt::Display for Id {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // The life is left out: of two workloads with one name at most one is of interest to a person.
+        // The generation is left out: of several workloads with one name, at most one matters to a reader.
         write!(out, "{}.{}.{}", self.workload, self.data_centre, self.index)
     }
 }
 
-/// A task's name as a person writes it.
+/// Name of a task as operators write it, without the generation of the workload.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Name {
-    /// The workload.
     pub workload: WorkloadId,
-    /// The data centre of its share.
+    /// The data centre that the task was assigned to.
     pub data_centre: DataCentreId,
-    /// Position in that share.
+    /// Index among the workload's tasks in that data centre, from 0.
     pub index: u32,
 }
 
@@ -49,17 +47,17 @@
     }
 }
 
-/// A text that is not a task's name.
+/// The text is not the name of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a task is named WORKLOAD.DATA-CENTRE.NUMBER, for example planner.gt-1.0")]
 pub struct ParseNameError;
 
-/// Orders the attempts at a task: first by the epoch of the claim, then by number.
+/// Identifies one attempt to run a task. Attempts are ordered by the epoch of the partition claim, then by number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Attempt {
-    /// Epoch of the claim under which it was started.
+    /// Epoch of the partition claim under which the attempt was started.
     pub epoch: Epoch,
-    /// Number within that epoch, from 1.
+    /// Sequence number within that epoch, from 1.
     pub number: u32,
 }
 
@@ -69,23 +67,23 @@
     }
 }
 
-/// How an attempt ended, as its worker tells it.
+/// How an attempt ended, as reported by its worker.
 ///
-/// Travels in `postcard` too, which can't read enums that are tagged within their fields.
+/// Also encoded with `postcard`, which can't decode internally tagged enums, so this one is externally tagged.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, schemars::JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum End {
-    /// It ran to its end.
+    /// It ran to completion.
     Finished,
-    /// It failed by itself.
+    /// It failed without being stopped.
     Failed {
-        /// The worker's words.
+        /// The worker's error message.
         message: String,
     },
-    /// It was stopped on command.
+    /// It was stopped by a command.
     Stopped,
-    /// Its lease lapsed.
+    /// Its lease expired.
     Lost,
-    /// Its worker was restarted: it went with the worker's earlier life.
+    /// Its worker was restarted, which ends all of its attempts.
     Restarted,
 }
--- a/components/model/src/units.rs
+++ b/components/model/src/units.rs
@@ -1,11 +1,11 @@
-//! Reads amounts with units, as people write them in settings and plans.
+//! Parses durations and sizes with units, as written in settings and plan files.
 
 use std::time::Duration;
 
 use bytesize::ByteSize;
 use thiserror::Error;
 
-/// An amount whose unit is missing or not known.
+/// The unit is missing or unknown, or the text is no number.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum UnitError {
     /// Not a duration with a unit.
@@ -16,16 +16,23 @@
     Size(String),
 }
 
-/// Reads a duration such as `250ms`.
+/// Parses a duration such as `250ms`.
+///
+/// # Errors
+/// [`UnitError::Duration`] if `text` is not a number with a known unit of time.
 pub fn parse_duration(text: &str) -> Result<Duration, UnitError> {
     humantime::parse_duration(text).map_err(|_| UnitError::Duration(text.to_owned()))
 }
 
-/// Reads a size such as `4GiB`, in bytes. A bare number is refused: its unit would be a guess.
+/// Parses a size such as `4GiB` and returns it in bytes.
+///
+/// # Errors
+/// [`UnitError::Size`] if `text` is not a number with a known unit. A number without a unit is rejected too, because
+/// the unit would have to be guessed.
 pub fn parse_size(text: &str) -> Result<u64, UnitError> {
-    let fault = || UnitError::Size(text.to_owned());
+    let error = || UnitError::Size(text.to_owned());
     if text.trim().chars().all(|c| c.is_ascii_digit() || c == '.') {
-        return Err(fault());
+        return Err(error());
     }
-    text.parse::<ByteSize>().map(|size| size.as_u64()).map_err(|_| fault())
+    text.parse::<ByteSize>().map(|size| size.as_u64()).map_err(|_| error())
 }
--- a/components/model/src/workload.rs
+++ b/components/model/src/workload.rs
@@ -1,4 +1,4 @@
-//! What operators ask for, and the accepted record of it in the platform's key-value service.
+//! Workloads as operators specify them, and their records in the platform's key-value service.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, SystemTime};
@@ -7,90 +7,87 @@
 
 use crate::{CommandId, DataCentreId, Partition, Resources, Revision, TeamId, WorkloadId};
 
-/// How the tasks of a workload live and start.
+/// How the tasks of a workload start and end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, schemars::JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// Long-lived instances that answer callers; each one is replaced when it ends.
+    /// Long-running instances that serve requests; an instance that ends is replaced.
     Service,
-    /// Tasks that run to their end, each on its own.
+    /// Independent tasks that run to completion.
     Batch,
-    /// Tasks that must all start together, and run to their end.
+    /// Tasks that must all start together and run to completion.
     Gang,
 }
 
-/// Which work goes first, and which may be stopped for other work.
+/// Scheduling priority: which work starts first, and which may be preempted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize, schemars::JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Priority {
-    /// Must start within seconds; may stop patient work.
+    /// Must start within seconds; may preempt patient work.
     Urgent,
-    /// The ordinary order.
+    /// The default priority.
     Normal,
-    /// May wait, may be throttled, checkpointed or stopped, and must not go missing.
+    /// May be delayed, throttled, checkpointed or preempted, but must not be lost.
     Patient,
 }
 
-/// What an operator states about a workload.
+/// A workload as specified by an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Workload {
-    /// Unique name in the cell.
+    /// Name, unique in the cell.
     pub name: WorkloadId,
-    /// The team that it counts for.
+    /// The team whose quota it counts against.
     pub team: TeamId,
-    /// How its tasks live and start.
     pub kind: Kind,
-    /// Its place in the order.
     pub priority: Priority,
     /// Number of tasks (instances of a service).
     pub instances: u32,
-    /// What each task needs.
+    /// Resources of each task.
     pub each: Resources,
-    /// The program that a worker runs, in the workers' own terms.
+    /// The program to run, passed to the worker unchanged.
     pub run: String,
-    /// Declared run time of a task; only a hint.
+    /// Expected run time of a task; only a hint.
     pub run_time: Option<Duration>,
 }
 
-/// What the operators want with an accepted workload.
+/// The state that operators want for an accepted workload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, schemars::JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Intent {
     /// Run it.
     Run,
-    /// Stop its tasks; never start one again.
+    /// Stop all of its tasks and start no more.
     Cancel,
 }
 
-/// An accepted workload, as it is kept in the platform's key-value service.
+/// An accepted workload, as stored in the platform's key-value service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// What was asked for.
     pub workload: Workload,
-    /// What the operators want now.
     pub intent: Intent,
-    /// The command that last changed the record; settles a lost answer by reading back.
+    /// Id of the command that last wrote the record. If the answer to a write is lost, reading the record back shows
+    /// whether the write took effect.
     pub command: CommandId,
-    /// Tells this workload from an earlier one with the same name; larger than any before, also when the record
-    /// of that one was removed.
+    /// Generation of the workload: larger than that of any earlier workload of the same name, even if the record of
+    /// that one has been deleted.
     pub life: u32,
-    /// Tasks of each data centre; decided once, at acceptance or by a change.
+    /// Number of tasks per data centre; set on acceptance and only altered by a change command.
     pub shares: BTreeMap<DataCentreId, u32>,
-    /// When it was accepted, by the clock of the host that accepted it.
+    /// When it was accepted, by the clock of the accepting host.
     pub accepted_at: SystemTime,
 }
 
-/// Which tasks of a share have finished, as it is kept in the platform's key-value service.
+/// Which tasks of a workload have finished in one data centre, as stored in the platform's key-value service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
-    /// Life of the workload that this is about.
+    /// Generation of the workload, see [`Record::life`].
     pub life: u32,
-    /// Finished tasks, as ranges of their positions, both ends included.
+    /// Finished tasks, as inclusive ranges of their indices.
     pub finished: Vec<(u32, u32)>,
 }
 
 impl Progress {
-    /// Collects positions, in growing order, into ranges.
+    /// Merges task indices, which must be ascending, into ranges.
     pub fn new(life: u32, positions: impl IntoIterator<Item = u32>) -> Progress {
         let mut finished: Vec<(u32, u32)> = Vec::new();
         for position in positions {
@@ -102,25 +99,24 @@
         Progress { life, finished }
     }
 
-    /// The positions, in growing order.
+    /// Indices of the finished tasks, ascending.
     pub fn positions(&self) -> impl Iterator<Item = u32> + '_ {
         self.finished.iter().flat_map(|(first, last)| *first..=*last)
     }
 }
 
-/// A record together with the platform's revision of it.
+/// A record with its revision in the key-value service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Versioned {
-    /// The record.
     pub record: Record,
-    /// The revision at which the platform last changed it.
+    /// Revision at which the record was last changed.
     pub revision: Revision,
 }
 
-/// Divides `count` tasks among the data centres.
+/// Splits `count` tasks among data centres.
 ///
-/// Services are spread evenly. Batch runs and gangs go whole to `preferred`, so that their tasks stand
-/// under one owner and a gang never waits for a link between data centres.
+/// Services are spread evenly. Batch workloads and gangs go to `preferred` as a whole, so that all of their tasks have
+/// one owner and a gang never depends on the link between data centres.
 pub fn split_tasks(
     kind: Kind,
     count: u32,
@@ -130,18 +126,18 @@
     if kind != Kind::Service || data_centres.is_empty() {
         return BTreeMap::from([(preferred.clone(), count)]);
     }
-    let places = data_centres.len() as u32;
+    let centre_count = data_centres.len() as u32;
     let mut shares = BTreeMap::new();
     for (position, name) in data_centres.iter().enumerate() {
-        let extra = u32::from((position as u32) < count % places);
-        shares.insert(name.clone(), count / places + extra);
+        let extra = u32::from((position as u32) < count % centre_count);
+        shares.insert(name.clone(), count / centre_count + extra);
     }
     shares
 }
 
-/// The partition of a data centre that a workload's share belongs to.
+/// The partition, in each data centre, that a workload belongs to.
 pub fn partition(workload: &str, partitions: Partition) -> Partition {
-    // FNV-1a: the assignment must be the same in every version and on every host.
+    // FNV-1a, because the assignment must be the same in every version and on every host.
     let mut hash: u64 = 0xcbf2_9ce4_8422_2325;
     for byte in workload.bytes() {
         hash ^= u64::from(byte);
--- a/components/request/src/keys.rs
+++ b/components/request/src/keys.rs
@@ -1,30 +1,34 @@
-//! The memory of unrepeatable keys at their home.
+//! Idempotency keys and the store of their results, kept by the host that owns them.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use uuid::Uuid;
 
-/// The key of an unrepeatable request: a UUID of version 7, which carries the time it was made.
+/// Idempotency key of a request: a version 7 UUID, which contains its creation time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct IdempotencyKey {
     id: Uuid,
     created: SystemTime,
 }
 
-/// Why a text is not a key that can be accepted.
+/// Why a key was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
-    /// Not a UUID of version 7.
+    /// Not a version 7 UUID.
     #[error("Idempotency-Key must be a UUID of version 7")]
     Malformed,
-    /// Made later than now.
-    #[error("Idempotency-Key was made in the future; check the caller's clock")]
+    /// Created in the future.
+    #[error("Idempotency-Key was created in the future; check the caller's clock")]
     Future,
 }
 
 impl IdempotencyKey {
-    /// Reads a key; `skew` is how far the caller's clock may be ahead.
+    /// Parses a key. `skew` is how far the caller's clock may be ahead.
+    ///
+    /// # Errors
+    /// [`KeyError::Malformed`] if `text` is not a version 7 UUID, [`KeyError::Future`] if the key was created later
+    /// than `now + skew`.
     pub fn parse(text: &str, skew: Duration, now: SystemTime) -> Result<IdempotencyKey, KeyError> {
         let id = Uuid::parse_str(text.trim()).map_err(|_| KeyError::Malformed)?;
         if id.get_version_num() != 7 {
@@ -38,29 +42,29 @@
         Ok(IdempotencyKey { id, created })
     }
 
-    /// The key in its usual spelling, whatever the caller's was.
+    /// The key in canonical form, whatever form the caller used.
     pub fn text(&self) -> String {
         self.id.to_string()
     }
 
-    /// When it was made, by the caller's clock.
+    /// When the key was created, by the caller's clock.
     pub fn created(&self) -> SystemTime {
         self.created
     }
 }
 
-/// What to do with a request.
+/// How to handle a request with a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BeginOutcome<A> {
-    /// It is the first: run it, then say how it ended.
+    /// First request with this key: run it, then record its outcome.
     First,
-    /// The first one runs still: wait for its end.
+    /// The first request is still running: wait for its outcome.
     Running,
-    /// The first one was answered so.
+    /// The first request got this answer.
     Answered(A),
-    /// Nobody can say any more whether it ran.
+    /// It is not known whether the first request ran.
     Unknown,
-    /// There is no room to remember it, so it must not run.
+    /// The store is full, so the request must not run.
     Full,
 }
 
@@ -71,25 +75,32 @@
     Unknown,
 }
 
-/// Keys and the answers to them, bounded in number, bytes and time.
+/// Keys with the answers to their requests, bounded in number, bytes and age.
 #[derive(Debug)]
 pub struct IdempotencyStore<A> {
     window: Duration,
-    most: usize,
-    most_bytes: usize,
+    max_keys: usize,
+    max_bytes: usize,
     bytes: usize,
     entries: HashMap<Uuid, Entry<A>>,
-    by_age: BTreeMap<(SystemTime, Uuid), ()>,
+    by_creation: BTreeMap<(SystemTime, Uuid), ()>,
 }
 
 impl<A: Clone> IdempotencyStore<A> {
-    /// Remembers keys until `window` after they were made, at most `most` of them; none is taken while their
-    /// answers have `most_bytes` or more.
-    pub fn new(window: Duration, most: usize, most_bytes: usize) -> IdempotencyStore<A> {
-        IdempotencyStore { window, most, most_bytes, bytes: 0, entries: HashMap::new(), by_age: BTreeMap::new() }
+    /// Creates a store that keeps each key until `window` after its creation, and at most `max_keys` keys. No new key is
+    /// accepted while the stored answers take `max_bytes` or more.
+    pub fn new(window: Duration, max_keys: usize, max_bytes: usize) -> IdempotencyStore<A> {
+        IdempotencyStore {
+            window,
+            max_keys,
+            max_bytes,
+            bytes: 0,
+            entries: HashMap::new(),
+            by_creation: BTreeMap::new(),
+        }
     }
 
-    /// Takes a request in. A key older than the window is `Unknown`: its memory may be gone.
+    /// Begins a request. A key that is older than the window is `Unknown`, as its entry may have expired.
     pub fn begin(&mut self, key: &IdempotencyKey, now: SystemTime) -> BeginOutcome<A> {
         self.expire(now);
         match self.entries.get(&key.id) {
@@ -101,15 +112,15 @@
         if key.created + self.window <= now {
             return BeginOutcome::Unknown;
         }
-        if self.entries.len() >= self.most || self.bytes >= self.most_bytes {
+        if self.entries.len() >= self.max_keys || self.bytes >= self.max_bytes {
             return BeginOutcome::Full;
         }
         self.entries.insert(key.id, Entry::Running);
-        self.by_age.insert((key.created, key.id), ());
+        self.by_creation.insert((key.created, key.id), ());
         BeginOutcome::First
     }
 
-    /// The answer to a key, when it is remembered.
+    /// The stored answer to the request with this key.
     pub fn get(&self, key: &IdempotencyKey) -> Option<A> {
         match self.entries.get(&key.id) {
             Some(Entry::Answered(answer, _)) => Some(answer.clone()),
@@ -117,51 +128,52 @@
         }
     }
 
-    /// The request was answered, with an answer of so many bytes.
+    /// Records the answer to the request and its size in bytes.
     pub fn record_answer(&mut self, key: &IdempotencyKey, answer: A, bytes: usize) {
         self.set(key, Entry::Answered(answer, bytes));
     }
 
-    /// Whether the request ran can't be said.
+    /// Records that it is not known whether the request ran.
     pub fn record_unknown(&mut self, key: &IdempotencyKey) {
         self.set(key, Entry::Unknown);
     }
 
-    /// The request surely did not run: a later one with the key may.
+    /// Records that the request certainly did not run. A later request with the key may run.
     pub fn record_not_run(&mut self, key: &IdempotencyKey) {
         self.remove(&(key.created, key.id));
     }
 
-    fn remove(&mut self, age: &(SystemTime, Uuid)) {
-        self.by_age.remove(age);
-        if let Some(Entry::Answered(_, bytes)) = self.entries.remove(&age.1) {
+    fn remove(&mut self, key: &(SystemTime, Uuid)) {
+        self.by_creation.remove(key);
+        if let Some(Entry::Answered(_, bytes)) = self.entries.remove(&key.1) {
             self.bytes -= bytes;
         }
     }
 
     fn set(&mut self, key: &IdempotencyKey, entry: Entry<A>) {
-        let Some(known) = self.entries.get_mut(&key.id) else { return };
+        let Some(stored) = self.entries.get_mut(&key.id) else { return };
         if let Entry::Answered(_, bytes) = &entry {
             self.bytes += bytes;
         }
-        if let Entry::Answered(_, bytes) = std::mem::replace(known, entry) {
+        if let Entry::Answered(_, bytes) = std::mem::replace(stored, entry) {
             self.bytes -= bytes;
         }
     }
 
-    /// Forgets keys whose window has ended, except those that run still.
+    /// Removes keys older than the window, except those whose request is still running.
     fn expire(&mut self, now: SystemTime) {
-        let Some(limit) = now.checked_sub(self.window) else { return };
-        let old: Vec<(SystemTime, Uuid)> = self.by_age.range(..(limit, Uuid::nil())).map(|(age, ())| *age).collect();
-        for age in old {
-            if matches!(self.entries.get(&age.1), Some(Entry::Running)) {
+        let Some(oldest) = now.checked_sub(self.window) else { return };
+        let expired: Vec<(SystemTime, Uuid)> =
+            self.by_creation.range(..(oldest, Uuid::nil())).map(|(key, ())| *key).collect();
+        for key in expired {
+            if matches!(self.entries.get(&key.1), Some(Entry::Running)) {
                 continue;
             }
-            self.remove(&age);
+            self.remove(&key);
         }
     }
 
-    /// Takes in a key that another host remembered. False when there is no room for it.
+    /// Adds a key that was handed over by another host. Returns false if the store is full.
     pub fn restore(&mut self, key: &IdempotencyKey, answer: Option<(A, usize)>, now: SystemTime) -> bool {
         match self.begin(key, now) {
             BeginOutcome::First => {}
@@ -175,7 +187,7 @@
         true
     }
 
-    /// All keys that have an end, with the answer where it is known.
+    /// All keys whose request has ended, with the answer if it is known.
     pub fn ended(&self) -> impl Iterator<Item = (String, Option<&A>)> + '_ {
         self.entries.iter().filter_map(|(id, entry)| match entry {
             Entry::Running => None,
@@ -184,12 +196,12 @@
         })
     }
 
-    /// Number of keys remembered.
+    /// Number of stored keys.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no key is remembered.
+    /// Whether the store has no keys.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/components/request/src/lib.rs
+++ b/components/request/src/lib.rs
@@ -1,10 +1,8 @@
-//! The decisions about callers' requests: which class, admitted or refused, which instance, retried or not,
-//! and whether an unrepeatable one may run here.
+//! Decisions about callers' requests: their class, whether they are admitted, which instance they go to, whether they
+//! may be retried, and whether a non-idempotent request may run on this host.
 //!
-//! Pure: time is an argument, randomness is passed in, so that recorded traces replay to stated outcomes.
-
-// Off until its wording is done.
-#![allow(clippy::missing_errors_doc, clippy::missing_panics_doc)]
+//! Pure functions and state machines: time and randomness are passed in, so that recorded traces can be replayed with
+//! a known result.
 
 mod class;
 mod keys;
--- a/components/request/src/ownership.rs
+++ b/components/request/src/ownership.rs
@@ -1,4 +1,7 @@
-//! Which host remembers an unrepeatable key, and whether it has remembered it for all of the key's life.
+//! Tracks which host owns an idempotency key, and whether this host has owned it ever since the key was created.
+//!
+//! The owner is chosen among the live hosts of the data centre by rendezvous hashing. Only the owner may run the request
+//! of a key, and only if no other host can have run it before without handing over the result.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, SystemTime};
@@ -6,109 +9,117 @@
 use member::winner;
 use model::HostId;
 
-/// Views of the live hosts older than a key can be are forgotten; this many are kept at the most.
-const MOST_VIEWS: usize = 256;
+/// Largest number of past host lists that are kept. Discarding one shortens the time for which ownership is known.
+const MAX_HOST_LISTS: usize = 256;
 
-/// Whether this host may run the request of a key.
+/// Whether this host may run the request with a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyStatus {
-    /// It is the key's home, and was for all of the key's life.
+    /// This host owns the key, and every owner since the key was created was this host or handed over its keys.
     Owned,
-    /// Another host is.
+    /// Another host owns the key.
     OwnedBy(HostId),
-    /// It is the key's home now, but another one may have run the request before.
+    /// This host owns the key now, but another host may have run the request earlier.
     MayHaveRun,
-    /// It has no authority now: its peers may replace it.
+    /// This host has no quorum or knows no live hosts, so another host may own the key.
     Uncertain,
 }
 
-/// The homes of keys within one data centre, as one host sees them over time.
+/// Ownership of the keys of one data centre over time, as seen by one host.
 #[derive(Clone, Debug)]
 pub struct KeyOwnership {
     own: HostId,
-    /// How far the clocks and views of two hosts may differ.
+    /// Largest difference between the clocks of two hosts, and between the times at which they see a change of the
+    /// live hosts.
     skew: Duration,
-    /// Views with their beginnings, the newest last.
-    views: VecDeque<(SystemTime, Vec<HostId>)>,
-    /// Since when this host has had its memory without a gap.
-    since: SystemTime,
-    certain: bool,
-    /// Hosts that handed all their keys over before they stopped, and when.
-    handed: HashMap<HostId, SystemTime>,
+    /// Lists of live hosts, each with the time from which it applied; the newest is last.
+    host_lists: VecDeque<(SystemTime, Vec<HostId>)>,
+    /// Start of the period for which this host has recorded its keys without a gap.
+    recorded_since: SystemTime,
+    has_quorum: bool,
+    /// Hosts that handed over all of their keys before they stopped, and when.
+    handed_over: HashMap<HostId, SystemTime>,
 }
 
 impl KeyOwnership {
-    /// A host that begins to remember at `now`.
+    /// Starts recording at `now`, without a quorum.
     pub fn new(own: HostId, skew: Duration, now: SystemTime) -> KeyOwnership {
-        KeyOwnership { own, skew, views: VecDeque::new(), since: now, certain: false, handed: HashMap::new() }
+        KeyOwnership {
+            own,
+            skew,
+            host_lists: VecDeque::new(),
+            recorded_since: now,
+            has_quorum: false,
+            handed_over: HashMap::new(),
+        }
     }
 
-    /// Takes in the live hosts of the data centre. Tells whether they changed.
+    /// Sets the live hosts of the data centre. Returns whether they changed.
     pub fn update_hosts(&mut self, hosts: Vec<HostId>, now: SystemTime) -> bool {
-        if self.views.back().is_some_and(|(_, known)| *known == hosts) {
+        if self.host_lists.back().is_some_and(|(_, known)| *known == hosts) {
             return false;
         }
-        self.views.push_back((now, hosts));
-        if self.views.len() > MOST_VIEWS {
-            // What the forgotten view said is not known any more, so the memory counts from its end.
-            self.views.pop_front();
-            self.since = self.since.max(self.views[0].0);
+        self.host_lists.push_back((now, hosts));
+        if self.host_lists.len() > MAX_HOST_LISTS {
+            // The owners before the oldest remaining list are no longer known, so the record starts there.
+            self.host_lists.pop_front();
+            self.recorded_since = self.recorded_since.max(self.host_lists[0].0);
         }
         true
     }
 
-    /// Takes in whether a quorum has heard this host lately. While it has not, another host may take its place,
-    /// so that afterwards the memory counts as new. Tells whether that changed.
-    pub fn update_quorum(&mut self, certain: bool, now: SystemTime) -> bool {
-        let changed = self.certain != certain;
-        if changed && certain {
-            self.since = now;
+    /// Sets whether a quorum has recently received messages from this host. Without a quorum another host may take over
+    /// its keys, so the record restarts when the quorum returns. Returns whether the value changed.
+    pub fn update_quorum(&mut self, has_quorum: bool, now: SystemTime) -> bool {
+        let changed = self.has_quorum != has_quorum;
+        if changed && has_quorum {
+            self.recorded_since = now;
         }
-        self.certain = certain;
+        self.has_quorum = has_quorum;
         changed
     }
 
-    /// Takes in that a host that stops has handed over all its keys whose home this one is now.
+    /// Records that a stopping host has handed over all of its keys that this host owns from now on.
     pub fn record_handover(&mut self, from: HostId, now: SystemTime) {
-        self.handed.insert(from, now);
+        self.handed_over.insert(from, now);
     }
 
-    /// The newest view of the hosts.
+    /// The current live hosts.
     pub fn hosts(&self) -> &[HostId] {
-        self.views.back().map(|(_, hosts)| hosts.as_slice()).unwrap_or_default()
+        self.host_lists.back().map(|(_, hosts)| hosts.as_slice()).unwrap_or_default()
     }
 
-    /// The standing of this host for a key that was made at `created`.
+    /// Whether this host may run the request with a key that was created at `created`.
     pub fn status(&self, key: &str, created: SystemTime) -> KeyStatus {
-        let Some((_, hosts)) = self.views.back() else { return KeyStatus::Uncertain };
-        match home(key, hosts) {
+        let Some((_, hosts)) = self.host_lists.back() else { return KeyStatus::Uncertain };
+        match owner(key, hosts) {
             Some(host) if host == self.own => {}
             Some(host) => return KeyStatus::OwnedBy(host.to_owned()),
             None => return KeyStatus::Uncertain,
         }
-        if !self.certain {
+        if !self.has_quorum {
             return KeyStatus::Uncertain;
         }
-        // Another host's clock or view may lag by the skew.
+        // The clock of another host, or its list of live hosts, may lag behind by the skew.
         let from = created.checked_sub(self.skew).unwrap_or(SystemTime::UNIX_EPOCH);
-        if from < self.since {
+        if from < self.recorded_since {
             return KeyStatus::MayHaveRun;
         }
-        let mine_throughout = self.views_since(from).all(|(began, hosts)| match home(key, hosts) {
-            Some(host) => host == self.own || self.handed.get(host).is_some_and(|at| began < at),
+        let owned_throughout = self.host_lists_since(from).all(|(began, hosts)| match owner(key, hosts) {
+            Some(host) => host == self.own || self.handed_over.get(host).is_some_and(|at| began < at),
             None => false,
         });
-        if mine_throughout { KeyStatus::Owned } else { KeyStatus::MayHaveRun }
+        if owned_throughout { KeyStatus::Owned } else { KeyStatus::MayHaveRun }
     }
 
-    /// Views that were in force at `from` or later.
-    fn views_since(&self, from: SystemTime) -> impl Iterator<Item = &(SystemTime, Vec<HostId>)> + '_ {
-        let ends = self.views.iter().skip(1).map(|(began, _)| Some(*began)).chain([None]);
-        let in_force = self.views.iter().zip(ends).filter(move |(_, end)| end.is_none_or(|end| end >= from));
-        in_force.map(|(view, _)| view)
+    /// The host lists that applied at `from` or later.
+    fn host_lists_since(&self, from: SystemTime) -> impl Iterator<Item = &(SystemTime, Vec<HostId>)> + '_ {
+        let ends = self.host_lists.iter().skip(1).map(|(began, _)| Some(*began)).chain([None]);
+        let applicable = self.host_lists.iter().zip(ends).filter(move |(_, end)| end.is_none_or(|end| end >= from));
+        applicable.map(|(list, _)| list)
     }
 }
 
-fn home<'a>(key: &str, hosts: &'a [HostId]) -> Option<&'a str> {
+fn owner<'a>(key: &str, hosts: &'a [HostId]) -> Option<&'a str> {
     winner(key, hosts.iter().map(String::as_str))
 }
--- a/components/request/src/queue.rs
+++ b/components/request/src/queue.rs
@@ -1,4 +1,5 @@
-//! Admission to one service: what can be done in time waits its turn, what can't is refused at once.
+//! Admission control for one service: a request that can be answered before its deadline is queued, any other is refused
+//! at once.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -6,33 +7,33 @@
 use model::TeamId;
 use model::workload::Priority;
 
-/// Names a waiting request.
+/// Identifies a queued request.
 pub type Ticket = u64;
 
-/// Shortest time that a refused caller is asked to stay away.
-const SOONEST_RETRY: Duration = Duration::from_millis(100);
-/// Longest time that a refused caller is asked to stay away.
-const LATEST_RETRY: Duration = Duration::from_secs(60);
-/// Room that is left for an answer that takes longer than usual.
-const SAFETY: f64 = 1.5;
-/// Assumed time of an answer before the first was seen.
-const UNSEEN: Duration = Duration::from_millis(20);
+/// Smallest retry delay given to a refused caller.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
+/// Largest retry delay given to a refused caller.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
+/// Safety factor on the usual answer time, for an answer that takes longer.
+const ANSWER_TIME_MARGIN: f64 = 1.5;
+/// Assumed answer time until the first answer has been measured.
+const DEFAULT_ANSWER_TIME: Duration = Duration::from_millis(20);
 
 /// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// It would not be answered before its deadline.
+    /// It can't be answered before its deadrequests.
     TooLate,
     /// The queue is full.
     Full,
     /// The service has no live instance.
     NoInstance,
-    /// This entry host may not use a slot of any instance yet.
+    /// No slot of any instance is assigned to this entry host yet.
     NoShare,
 }
 
 impl RefusalReason {
-    /// For the caller.
+    /// Explanation for the caller.
     pub fn message(self) -> &'static str {
         match self {
             RefusalReason::TooLate => "can't be answered before its deadline",
@@ -43,45 +44,44 @@
     }
 }
 
-/// A refusal, before anything was sent to a backend server.
+/// A refusal of a request of which nothing was sent to a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
     pub reason: RefusalReason,
-    /// When to come back, worked out from what waits now.
+    /// Delay before a retry, estimated from the requests that are queued now.
     pub retry_after: Duration,
 }
 
-/// Who asks for a slot, and until when it is of use.
+/// A request for a slot.
 #[derive(Clone, Debug)]
 pub struct SlotRequest {
     /// The team that sent the request.
     pub team: TeamId,
-    /// Its class's place in the queue.
+    /// Priority of the request's class.
     pub priority: Priority,
-    /// When its caller stops waiting.
+    /// When the caller stops waiting.
     pub deadline: Instant,
 }
 
-/// What an entry host can do for a service now.
+/// What one entry host can currently use of a service.
 #[derive(Clone, Copy, Debug)]
 pub struct Capacity {
-    /// Requests that it may run at once.
+    /// Number of requests that it may run concurrently.
     pub slots: u32,
-    /// Whether a slot is free.
+    /// Whether a slot is free now.
     pub free: bool,
-    /// The usual time of an answer; `None` before the first.
+    /// The usual answer time; `None` before the first answer.
     pub answer_time: Option<Duration>,
 }
 
-/// What becomes of a request.
+/// Result of admission control.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Take a slot now.
+    /// The request may take a slot now.
     Run,
-    /// Wait; [`Queue::next`] will name the ticket.
+    /// The request is queued; [`Queue::next`] will return the ticket.
     Wait(Ticket),
-    /// No.
+    /// The request must not run.
     Refused(Refusal),
 }
 
@@ -91,126 +91,128 @@
     deadline: Instant,
 }
 
-/// One priority's requests, by team, served in turn.
+/// The queued requests of one priority, by team. Teams are served round-robin.
 #[derive(Debug, Default)]
-struct Tier {
+struct TeamQueues {
     teams: HashMap<TeamId, VecDeque<Waiting>>,
-    turn: VecDeque<TeamId>,
+    /// Order in which the teams are served next.
+    turns: VecDeque<TeamId>,
     count: usize,
 }
 
-impl Tier {
+impl TeamQueues {
     fn push(&mut self, team: &TeamId, waiting: Waiting) {
-        let line = self.teams.entry(team.clone()).or_default();
-        if line.is_empty() {
-            self.turn.push_back(team.clone());
+        let requests = self.teams.entry(team.clone()).or_default();
+        if requests.is_empty() {
+            self.turns.push_back(team.clone());
         }
-        line.push_back(waiting);
+        requests.push_back(waiting);
         self.count += 1;
     }
 
-    /// The next request of the team whose turn it is; the team goes to the end.
+    /// Removes the next request of the team whose turn it is, and moves the team to the end.
     fn pop(&mut self) -> Option<Waiting> {
-        let team = self.turn.pop_front()?;
-        let line = self.teams.get_mut(&team)?;
-        let waiting = line.pop_front();
-        if line.is_empty() {
+        let team = self.turns.pop_front()?;
+        let requests = self.teams.get_mut(&team)?;
+        let waiting = requests.pop_front();
+        if requests.is_empty() {
             self.teams.remove(&team);
         } else {
-            self.turn.push_back(team);
+            self.turns.push_back(team);
         }
         self.count -= usize::from(waiting.is_some());
         waiting
     }
 
     fn remove(&mut self, team: &TeamId, ticket: Ticket) -> bool {
-        let Some(line) = self.teams.get_mut(team) else { return false };
-        let before = line.len();
-        line.retain(|waiting| waiting.ticket != ticket);
-        let removed = before - line.len();
+        let Some(requests) = self.teams.get_mut(team) else { return false };
+        let before = requests.len();
+        requests.retain(|waiting| waiting.ticket != ticket);
+        let removed = before - requests.len();
         self.count -= removed;
-        if line.is_empty() {
+        if requests.is_empty() {
             self.teams.remove(team);
-            self.turn.retain(|name| name != team);
+            self.turns.retain(|name| name != team);
         }
         removed > 0
     }
 
-    /// Requests that go before a new one of this team: as many of each other team's as the team has itself.
+    /// Number of requests that are served before a new one of this team: its own, and of each other team at most one
+    /// more than it has itself.
     fn ahead(&self, team: &TeamId) -> usize {
         let own = self.teams.get(team).map_or(0, VecDeque::len);
         let others = self.teams.iter().filter(|(name, _)| *name != team);
-        own + others.map(|(_, line)| line.len().min(own + 1)).sum::<usize>()
+        own + others.map(|(_, requests)| requests.len().min(own + 1)).sum::<usize>()
     }
 }
 
 /// The queue of one service at one entry host.
 #[derive(Debug)]
 pub struct Queue {
-    most: usize,
-    tiers: BTreeMap<Priority, Tier>,
-    last: Ticket,
+    max_len: usize,
+    priorities: BTreeMap<Priority, TeamQueues>,
+    last_ticket: Ticket,
 }
 
 impl Queue {
-    /// An empty queue for at most `most` requests.
-    pub fn new(most: usize) -> Queue {
-        Queue { most, tiers: BTreeMap::new(), last: 0 }
+    /// Creates an empty queue for at most `max_len` requests.
+    pub fn new(max_len: usize) -> Queue {
+        Queue { max_len, priorities: BTreeMap::new(), last_ticket: 0 }
     }
 
-    /// Requests that wait.
+    /// Number of queued requests.
     pub fn len(&self) -> usize {
-        self.tiers.values().map(|tier| tier.count).sum()
+        self.priorities.values().map(|queue| queue.count).sum()
     }
 
-    /// Whether none waits.
+    /// Whether no request is queued.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Offers a request.
-    pub fn admit(&mut self, ask: &SlotRequest, room: &Capacity, now: Instant) -> Admission {
-        let answer = room.answer_time.unwrap_or(UNSEEN);
-        let ahead = self.ahead(&ask.team, ask.priority);
-        if room.free && ahead == 0 {
-            return self.run(ask.deadline, answer, now);
+    /// Decides whether a request runs now, is queued or is refused.
+    pub fn admit(&mut self, request: &SlotRequest, capacity: &Capacity, now: Instant) -> Admission {
+        let answer_time = capacity.answer_time.unwrap_or(DEFAULT_ANSWER_TIME);
+        let ahead = self.ahead(&request.team, request.priority);
+        if capacity.free && ahead == 0 {
+            return self.run(request.deadline, answer_time, now);
         }
-        let drain = wait(self.len() + 1, room.slots, answer);
-        if room.slots == 0 {
+        let time_to_drain = queueing_time(self.len() + 1, capacity.slots, answer_time);
+        if capacity.slots == 0 {
             return refuse(RefusalReason::NoShare, Duration::from_secs(1));
         }
-        if self.len() >= self.most {
-            return refuse(RefusalReason::Full, drain);
+        if self.len() >= self.max_len {
+            return refuse(RefusalReason::Full, time_to_drain);
         }
-        let expected = wait(ahead + 1, room.slots, answer) + answer.mul_f64(SAFETY);
-        if now + expected > ask.deadline {
-            return refuse(RefusalReason::TooLate, drain);
+        let expected = queueing_time(ahead + 1, capacity.slots, answer_time) + answer_time.mul_f64(ANSWER_TIME_MARGIN);
+        if now + expected > request.deadline {
+            return refuse(RefusalReason::TooLate, time_to_drain);
         }
-        self.last += 1;
-        let waiting = Waiting { ticket: self.last, deadline: ask.deadline };
-        self.tiers.entry(ask.priority).or_default().push(&ask.team, waiting);
-        Admission::Wait(self.last)
+        self.last_ticket += 1;
+        let waiting = Waiting { ticket: self.last_ticket, deadline: request.deadline };
+        self.priorities.entry(request.priority).or_default().push(&request.team, waiting);
+        Admission::Wait(self.last_ticket)
     }
 
-    fn run(&self, deadline: Instant, answer: Duration, now: Instant) -> Admission {
+    fn run(&self, deadline: Instant, answer_time: Duration, now: Instant) -> Admission {
         if now >= deadline {
-            return refuse(RefusalReason::TooLate, answer);
+            return refuse(RefusalReason::TooLate, answer_time);
         }
         Admission::Run
     }
 
     fn ahead(&self, team: &TeamId, priority: Priority) -> usize {
-        let before = self.tiers.range(..priority).map(|(_, tier)| tier.count).sum::<usize>();
-        before + self.tiers.get(&priority).map_or(0, |tier| tier.ahead(team))
+        let before = self.priorities.range(..priority).map(|(_, queue)| queue.count).sum::<usize>();
+        before + self.priorities.get(&priority).map_or(0, |queue| queue.ahead(team))
     }
 
-    /// The request that gets the slot that just became free, and those before it that could not be answered any
-    /// more before their deadline: they are to be refused now, instead of wasting the slot.
-    pub fn next(&mut self, answer: Option<Duration>, now: Instant) -> (Option<Ticket>, Vec<Ticket>) {
-        let needed = answer.unwrap_or_default().mul_f64(SAFETY);
+    /// Removes and returns the request that gets the slot that has just become free, and the requests before it that can
+    /// no longer be answered before their deadlines. The caller refuses the latter, so that they don't waste the slot.
+    pub fn next(&mut self, answer_time: Option<Duration>, now: Instant) -> (Option<Ticket>, Vec<Ticket>) {
+        let needed = answer_time.unwrap_or_default().mul_f64(ANSWER_TIME_MARGIN);
         let mut late = Vec::new();
-        for tier in self.tiers.values_mut() {
-            while let Some(waiting) = tier.pop() {
+        for queue in self.priorities.values_mut() {
+            while let Some(waiting) = queue.pop() {
                 if waiting.deadline > now + needed {
                     return (Some(waiting.ticket), late);
                 }
@@ -220,23 +222,24 @@
         (None, late)
     }
 
-    /// Takes a request out whose caller went away or whose deadline came. Tells whether it still waited.
-    pub fn remove(&mut self, ask: &SlotRequest, ticket: Ticket) -> bool {
-        self.tiers.get_mut(&ask.priority).is_some_and(|tier| tier.remove(&ask.team, ticket))
+    /// Removes a request whose caller has gone away or whose deadline has passed. Returns whether it was still queued.
+    pub fn remove(&mut self, request: &SlotRequest, ticket: Ticket) -> bool {
+        self.priorities.get_mut(&request.priority).is_some_and(|queue| queue.remove(&request.team, ticket))
     }
 
-    /// When a caller that is refused now should come back.
-    pub fn retry_after(&self, slots: u32, answer: Option<Duration>) -> Duration {
-        wait(self.len() + 1, slots, answer.unwrap_or(UNSEEN)).clamp(SOONEST_RETRY, LATEST_RETRY)
+    /// Delay after which a caller that is refused now should retry.
+    pub fn retry_after(&self, slots: u32, answer_time: Option<Duration>) -> Duration {
+        queueing_time(self.len() + 1, slots, answer_time.unwrap_or(DEFAULT_ANSWER_TIME))
+            .clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 }
 
-/// Time until the last of `requests` gets one of the slots.
-fn wait(requests: usize, slots: u32, answer: Duration) -> Duration {
+/// Time until the last of `requests` requests gets a slot.
+fn queueing_time(requests: usize, slots: u32, answer_time: Duration) -> Duration {
     let rounds = requests as f64 / f64::from(slots.max(1));
-    answer.mul_f64(rounds)
+    answer_time.mul_f64(rounds)
 }
 
-fn refuse(why: RefusalReason, retry_after: Duration) -> Admission {
-    Admission::Refused(Refusal { reason: why, retry_after: retry_after.clamp(SOONEST_RETRY, LATEST_RETRY) })
+fn refuse(reason: RefusalReason, retry_after: Duration) -> Admission {
+    Admission::Refused(Refusal { reason, retry_after: retry_after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER) })
 }
--- a/components/request/src/retry.rs
+++ b/components/request/src/retry.rs
@@ -1,28 +1,28 @@
-//! How often requests may be sent again: a share of those that succeeded, so that a service in trouble gets
-//! fewer requests, not more.
+//! Limits retries to a fraction of the successful requests, so that a service in trouble receives fewer requests
+//! instead of more.
 
-/// Retries earned by one success.
-const EARNED: f64 = 0.1;
-/// Retries that can be saved up.
-const MOST: f64 = 20.0;
+/// Retries earned by one successful request.
+const RETRIES_PER_SUCCESS: f64 = 0.1;
+/// Largest number of retries that can be saved up.
+const MAX_RETRIES: f64 = 20.0;
 
-/// Retries that may still be made.
+/// Number of retries that may still be made.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget(f64);
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        RetryBudget(MOST)
+        RetryBudget(MAX_RETRIES)
     }
 }
 
 impl RetryBudget {
-    /// Notes a success.
+    /// Records a successful request.
     pub fn record_success(&mut self) {
-        self.0 = (self.0 + EARNED).min(MOST);
+        self.0 = (self.0 + RETRIES_PER_SUCCESS).min(MAX_RETRIES);
     }
 
-    /// Takes one retry; false when none is left.
+    /// Spends one retry; returns false if none is left.
     pub fn try_take(&mut self) -> bool {
         if self.0 < 1.0 {
             return false;
