--- a/components/place/src/lib.rs
+++ b/components/place/src/lib.rs
@@ -1,10 +1,7 @@
-//! Where a task goes: pure decisions over the workers of one data centre.
+//! Placement of tasks on the workers of one data centre: the choice of workers, the order of waiting work and preemption.
 //!
-//! No clock, no sockets, no locks: the same inputs give the same answer, so that recorded traces replay
-//! through these functions to stated outcomes.
-
-// Off until its wording is done.
-#![allow(clippy::missing_errors_doc, clippy::missing_panics_doc)]
+//! Pure functions without clock, sockets or locks: the same inputs give the same result, so that recorded traces can be
+//! replayed with a known result.
 
 mod choose;
 mod order;
--- a/components/place/src/preempt.rs
+++ b/components/place/src/preempt.rs
@@ -1,4 +1,4 @@
-//! Which patient tasks are stopped so that urgent work can start: the fewest losses that make enough room
+//! Selects patient tasks to stop so that urgent work can start: those with the least lost work that free enough resources
 //! on one worker.
 
 use std::time::Duration;
@@ -6,47 +6,44 @@
 use model::task::{Attempt, Id};
 use model::{Resources, WorkerId};
 
-/// A patient task that may be stopped.
+/// A patient task that may be preempted.
 #[derive(Clone, Debug)]
 pub struct Victim {
-    /// The task.
     pub task: Id,
     /// Its running attempt.
     pub attempt: Attempt,
-    /// What its end frees.
+    /// Resources that become free when it ends.
     pub resources: Resources,
-    /// Work since its last checkpoint, which would have to be done again.
+    /// Run time since its last checkpoint, which would be lost.
     pub unsaved: Duration,
 }
 
 impl Victim {
-    /// Core-seconds that would be lost.
+    /// Lost work in core-seconds.
     fn loss(&self) -> f64 {
         self.unsaved.as_secs_f64() * f64::from(self.resources.cpu_milli) / 1000.0
     }
 }
 
-/// A worker with its patient tasks.
+/// A worker and the patient tasks that it runs.
 #[derive(Clone, Debug)]
 pub struct Candidate {
-    /// The worker.
     pub worker: WorkerId,
-    /// Free now.
+    /// Free resources of the worker.
     pub free: Resources,
-    /// Its patient tasks.
+    /// Patient tasks on the worker.
     pub patient: Vec<Victim>,
 }
 
-/// A worker and what to stop on it.
+/// The chosen worker and the tasks to stop on it.
 #[derive(Clone, Debug)]
 pub struct Preemption {
-    /// The worker.
     pub worker: WorkerId,
     /// Tasks to stop.
     pub victims: Vec<Victim>,
 }
 
-/// Chooses the worker and victims with the least loss; `None` when no worker could make enough room.
+/// Chooses the worker and victims with the least lost work. Returns `None` if no worker could free enough resources.
 pub fn preempt(candidates: &[Candidate], need: &Resources) -> Option<Preemption> {
     let mut best: Option<(f64, Preemption)> = None;
     for candidate in candidates {
@@ -59,7 +56,7 @@
     best.map(|(_, preemption)| preemption)
 }
 
-/// Cheapest first until there is room, then those spared that turn out not to be needed.
+/// Adds victims, the cheapest first, until there is enough room, then drops those that are not needed after all.
 fn victims(candidate: &Candidate, need: &Resources) -> Option<Vec<Victim>> {
     let mut cheapest: Vec<&Victim> = candidate.patient.iter().collect();
     cheapest.sort_by(|left, right| left.loss().total_cmp(&right.loss()));
@@ -75,12 +72,12 @@
     if !need.fits_in(&free) {
         return None;
     }
-    let mut kept: Vec<Victim> = Vec::new();
+    let mut needed: Vec<Victim> = Vec::new();
     for victim in chosen.into_iter().rev() {
         match free.checked_sub(&victim.resources) {
             Some(without) if need.fits_in(&without) => free = without,
-            _ => kept.push(victim.clone()),
+            _ => needed.push(victim.clone()),
         }
     }
-    Some(kept)
+    Some(needed)
 }
--- a/components/place/src/refusals.rs
+++ b/components/place/src/refusals.rs
@@ -1,23 +1,24 @@
-//! Sizes that found no room in one pass, so that equal tasks need not look again.
+//! Caches failed placements during one scheduling pass, so that tasks of the same size are not tried again.
 
 use model::Resources;
 
 use crate::choose::Choice;
 
-/// The refusals of one pass.
+/// The failed placements of one scheduling pass.
 #[derive(Clone, Debug, Default)]
 pub struct Refusals(Vec<(Resources, Choice)>);
 
 impl Refusals {
-    /// Notes a refusal. `whole_cell` tells whether all workers were open to it: a refusal by a part of them says
-    /// nothing to others.
-    pub fn record(&mut self, each: Resources, choice: &Choice, whole_cell: bool) {
-        if whole_cell {
+    /// Records a failed placement. It is only kept if `all_workers` were candidates: the other workers might still have
+    /// room for other tasks.
+    pub fn record(&mut self, each: Resources, choice: &Choice, all_workers: bool) {
+        if all_workers {
             self.0.push((each, choice.clone()));
         }
     }
 
-    /// The refusal of just this size: a larger one may have another reason.
+    /// The failed placement of exactly this size. A larger task may have failed for another reason, so it does not
+    /// count.
     pub fn find(&self, each: &Resources) -> Option<&Choice> {
         self.0.iter().find(|(size, _)| size == each).map(|(_, choice)| choice)
     }
--- a/components/place/src/worker_table.rs
+++ b/components/place/src/worker_table.rs
@@ -1,30 +1,28 @@
-//! The workers of one data centre, laid out for a fast scan.
+//! The workers of one data centre, in a layout that is fast to scan.
 
 use std::collections::HashMap;
 
 use model::{RackId, Resources, WorkerId};
 
-/// Position of a worker in a cell; stays valid while the cell lives.
+/// Position of a worker in a [`WorkerTable`]. Workers are never removed, so it remains valid.
 pub type WorkerIndex = usize;
 
-/// A worker as it is told to the cell.
+/// A worker to be added to a [`WorkerTable`].
 #[derive(Clone, Debug)]
 pub struct Worker {
-    /// Its name.
     pub id: WorkerId,
-    /// Its rack.
     pub rack: RackId,
-    /// All that it offers.
+    /// Total resources.
     pub capacity: Resources,
-    /// Not committed.
+    /// Resources that are not committed to tasks.
     pub free: Resources,
-    /// Whether it takes new tasks.
+    /// Whether it accepts new tasks.
     pub open: bool,
 }
 
-/// What a scan reads of a worker, in one cache line for two.
+/// The data of a worker that a scan reads. Two fit in one cache line.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Slot {
+pub(crate) struct Row {
     pub(crate) free: Resources,
     pub(crate) capacity: Resources,
     pub(crate) rack: u32,
@@ -34,98 +32,98 @@
 /// The workers of one data centre.
 #[derive(Clone, Debug, Default)]
 pub struct WorkerTable {
-    pub(crate) slots: Vec<Slot>,
+    pub(crate) rows: Vec<Row>,
     ids: Vec<WorkerId>,
-    index: HashMap<WorkerId, WorkerIndex>,
+    index_by_id: HashMap<WorkerId, WorkerIndex>,
     racks: HashMap<RackId, u32>,
 }
 
 impl WorkerTable {
-    /// Creates a cell; the order of the workers breaks ties.
+    /// Creates a table. If several workers are equally good, the first in `workers` is chosen.
     pub fn new(workers: impl IntoIterator<Item = Worker>) -> WorkerTable {
-        let mut cell = WorkerTable::default();
+        let mut table = WorkerTable::default();
         for worker in workers {
-            cell.upsert(worker);
+            table.upsert(worker);
         }
-        cell
+        table
     }
 
-    /// Adds a worker, or replaces what is known of it.
+    /// Adds a worker, or replaces its data if its name is known.
     pub fn upsert(&mut self, worker: Worker) -> WorkerIndex {
         let next_rack = self.racks.len() as u32;
         let rack = *self.racks.entry(worker.rack).or_insert(next_rack);
-        let slot = Slot { free: worker.free, capacity: worker.capacity, rack, open: worker.open };
-        if let Some(at) = self.index.get(&worker.id) {
-            self.slots[*at] = slot;
-            return *at;
+        let row = Row { free: worker.free, capacity: worker.capacity, rack, open: worker.open };
+        if let Some(index) = self.index_by_id.get(&worker.id) {
+            self.rows[*index] = row;
+            return *index;
         }
-        let at = self.slots.len();
-        self.index.insert(worker.id.clone(), at);
+        let index = self.rows.len();
+        self.index_by_id.insert(worker.id.clone(), index);
         self.ids.push(worker.id);
-        self.slots.push(slot);
-        at
+        self.rows.push(row);
+        index
     }
 
     /// Number of workers.
     pub fn len(&self) -> usize {
-        self.slots.len()
+        self.rows.len()
     }
 
-    /// Whether there is no worker.
+    /// Whether the table has no workers.
     pub fn is_empty(&self) -> bool {
-        self.slots.is_empty()
+        self.rows.is_empty()
     }
 
     /// Name of a worker.
-    pub fn id(&self, at: WorkerIndex) -> &WorkerId {
-        &self.ids[at]
+    pub fn id(&self, index: WorkerIndex) -> &WorkerId {
+        &self.ids[index]
     }
 
     /// Position of a worker.
     pub fn find(&self, id: &str) -> Option<WorkerIndex> {
-        self.index.get(id).copied()
+        self.index_by_id.get(id).copied()
     }
 
-    /// What is free on a worker.
-    pub fn free(&self, at: WorkerIndex) -> Resources {
-        self.slots[at].free
+    /// Free resources of a worker.
+    pub fn free(&self, index: WorkerIndex) -> Resources {
+        self.rows[index].free
     }
 
-    /// Number of a worker's rack.
-    pub fn rack(&self, at: WorkerIndex) -> u32 {
-        self.slots[at].rack
+    /// Number of the rack of a worker.
+    pub fn rack(&self, index: WorkerIndex) -> u32 {
+        self.rows[index].rack
     }
 
-    /// Takes from what is free; false, and nothing taken, when it does not fit.
-    pub fn allocate(&mut self, at: WorkerIndex, amount: &Resources) -> bool {
-        let slot = &mut self.slots[at];
-        match slot.free.checked_sub(amount) {
-            Some(rest) => {
-                slot.free = rest;
+    /// Subtracts `amount` from the free resources. Returns false, without a change, if it does not fit.
+    pub fn allocate(&mut self, index: WorkerIndex, amount: &Resources) -> bool {
+        let row = &mut self.rows[index];
+        match row.free.checked_sub(amount) {
+            Some(remaining) => {
+                row.free = remaining;
                 true
             }
             None => false,
         }
     }
 
-    /// Gives back what was taken, never above the capacity.
-    pub fn release(&mut self, at: WorkerIndex, amount: &Resources) {
-        let slot = &mut self.slots[at];
-        let sum = slot.free.checked_add(amount).unwrap_or(slot.capacity);
-        slot.free = Resources {
-            cpu_milli: sum.cpu_milli.min(slot.capacity.cpu_milli),
-            memory_mib: sum.memory_mib.min(slot.capacity.memory_mib),
-            accelerators: sum.accelerators.min(slot.capacity.accelerators),
+    /// Adds `amount` to the free resources, up to the capacity.
+    pub fn release(&mut self, index: WorkerIndex, amount: &Resources) {
+        let row = &mut self.rows[index];
+        let sum = row.free.checked_add(amount).unwrap_or(row.capacity);
+        row.free = Resources {
+            cpu_milli: sum.cpu_milli.min(row.capacity.cpu_milli),
+            memory_mib: sum.memory_mib.min(row.capacity.memory_mib),
+            accelerators: sum.accelerators.min(row.capacity.accelerators),
         };
     }
 
-    /// Whether a worker takes new tasks.
-    pub fn is_open(&self, at: WorkerIndex) -> bool {
-        self.slots[at].open
+    /// Whether a worker accepts new tasks.
+    pub fn is_open(&self, index: WorkerIndex) -> bool {
+        self.rows[index].open
     }
 
-    /// Opens a worker for new tasks, or closes it.
-    pub fn set_open(&mut self, at: WorkerIndex, open: bool) {
-        self.slots[at].open = open;
+    /// Sets whether a worker accepts new tasks.
+    pub fn set_open(&mut self, index: WorkerIndex, open: bool) {
+        self.rows[index].open = open;
     }
 }
--- a/components/place/tests/place.rs
+++ b/components/place/tests/place.rs
@@ -1,4 +1,4 @@
-//! Placement: never over, spread or packed by kind, gangs whole, refusals with their reason.
+//! Tests of placement, ordering and preemption.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -22,31 +22,33 @@
 }
 
 #[test]
-fn a_service_spreads_over_workers_and_racks() {
-    let mut cell = WorkerTable::new([worker("a1", "a", 16), worker("a2", "a", 16), worker("b1", "b", 16)]);
+fn service_is_spread_over_workers_and_racks() {
+    let mut table = WorkerTable::new([worker("a1", "a", 16), worker("a2", "a", 16), worker("b1", "b", 16)]);
     let mut siblings = Siblings::default();
     let mut placed = Vec::new();
     for _ in 0..3 {
-        let Choice::Placed(at) = choose(&cell, &demand(Kind::Service, 2), &siblings) else { panic!("has room") };
-        cell.allocate(at, &Resources::new(2, 2048, 0));
-        siblings.add(&cell, at);
-        placed.push(cell.id(at).clone());
+        let Choice::Placed(index) = choose(&table, &demand(Kind::Service, 2), &siblings) else {
+            panic!("there is enough room")
+        };
+        table.allocate(index, &Resources::new(2, 2048, 0));
+        siblings.add(&table, index);
+        placed.push(table.id(index).clone());
     }
     assert_eq!(placed, ["a1", "b1", "a2"]);
 }
 
 #[test]
-fn batch_packs_the_fullest_worker_with_room() {
-    let mut cell = WorkerTable::new([worker("a", "a", 16), worker("b", "a", 16)]);
-    cell.allocate(1, &Resources::new(10, 1024, 0));
-    assert_eq!(choose(&cell, &demand(Kind::Batch, 4), &Siblings::default()), Choice::Placed(1));
-    assert_eq!(choose(&cell, &demand(Kind::Batch, 8), &Siblings::default()), Choice::Placed(0));
+fn batch_task_goes_to_the_fullest_worker_with_room() {
+    let mut table = WorkerTable::new([worker("a", "a", 16), worker("b", "a", 16)]);
+    table.allocate(1, &Resources::new(10, 1024, 0));
+    assert_eq!(choose(&table, &demand(Kind::Batch, 4), &Siblings::default()), Choice::Placed(1));
+    assert_eq!(choose(&table, &demand(Kind::Batch, 8), &Siblings::default()), Choice::Placed(0));
 }
 
 #[test]
-fn work_that_can_never_run_is_told_the_nearest_miss() {
-    let cell = WorkerTable::new([worker("small", "a", 8), worker("large", "a", 16)]);
-    let Choice::Impossible(reason) = choose(&cell, &demand(Kind::Batch, 20), &Siblings::default()) else {
+fn task_larger_than_every_worker_is_rejected_with_the_largest_worker() {
+    let table = WorkerTable::new([worker("small", "a", 8), worker("large", "a", 16)]);
+    let Choice::Impossible(reason) = choose(&table, &demand(Kind::Batch, 20), &Siblings::default()) else {
         panic!("no worker has 20 cores")
     };
     assert_eq!(
@@ -56,36 +58,36 @@
 }
 
 #[test]
-fn a_closed_worker_takes_nothing() {
-    let mut cell = WorkerTable::new([worker("a", "a", 16)]);
-    cell.set_open(0, false);
-    assert_eq!(choose(&cell, &demand(Kind::Batch, 1), &Siblings::default()), Choice::Waiting(Reason::NoWorkers));
+fn closed_worker_gets_no_tasks() {
+    let mut table = WorkerTable::new([worker("a", "a", 16)]);
+    table.set_open(0, false);
+    assert_eq!(choose(&table, &demand(Kind::Batch, 1), &Siblings::default()), Choice::Waiting(Reason::NoWorkers));
 }
 
 #[test]
-fn a_refusal_speaks_only_for_its_size_and_only_when_all_workers_were_asked() {
+fn refusal_is_cached_only_for_its_size_and_only_if_all_workers_were_candidates() {
     let refusal = Choice::Waiting(Reason::NoWorkers);
     let (small, large) = (Resources::new(1, 1024, 0), Resources::new(2, 1024, 0));
     let mut refusals = Refusals::default();
     refusals.record(small, &refusal, false);
-    assert_eq!(refusals.find(&small), None, "some workers were closed to that workload alone");
+    assert_eq!(refusals.find(&small), None, "not all workers were candidates");
     refusals.record(small, &refusal, true);
     assert_eq!(refusals.find(&small), Some(&refusal));
-    assert_eq!(refusals.find(&large), None, "it may be one that can never run");
+    assert_eq!(refusals.find(&large), None, "a larger task may be too large for every worker");
 }
 
 #[test]
-fn a_gang_is_placed_whole_or_leaves_nothing_behind() {
-    let mut cell = WorkerTable::new([worker("a", "a", 16), worker("b", "a", 16)]);
-    let before = (cell.free(0), cell.free(1));
-    let refused = choose_gang(&mut cell, &demand(Kind::Gang, 5), 7);
+fn gang_is_placed_as_a_whole_or_nothing_is_allocated() {
+    let mut table = WorkerTable::new([worker("a", "a", 16), worker("b", "a", 16)]);
+    let before = (table.free(0), table.free(1));
+    let refused = choose_gang(&mut table, &demand(Kind::Gang, 5), 7);
     assert_eq!(refused, Err(Choice::Waiting(Reason::GangIncomplete { fitting: 6, needed: 7 })));
-    assert_eq!((cell.free(0), cell.free(1)), before);
-    assert_eq!(choose_gang(&mut cell, &demand(Kind::Gang, 5), 6).unwrap().len(), 6);
+    assert_eq!((table.free(0), table.free(1)), before);
+    assert_eq!(choose_gang(&mut table, &demand(Kind::Gang, 5), 6).unwrap().len(), 6);
 }
 
 #[test]
-fn the_cheapest_victims_on_one_worker_make_room() {
+fn victims_with_the_least_lost_work_on_one_worker_are_chosen() {
     let victim = |workload: &str, cores: u32, unsaved: u64| Victim {
         task: Id { workload: workload.to_owned(), life: 1, data_centre: "gt-1".to_owned(), index: 0 },
         attempt: Attempt { epoch: 1, number: 1 },
@@ -107,44 +109,44 @@
 }
 
 #[test]
-fn urgent_goes_first_then_the_starving_then_the_team_that_uses_least() {
-    let claimant = |workload: &str, team: &str, priority, waited| WaitingWork {
+fn order_is_urgent_then_starving_then_the_team_with_the_smallest_share() {
+    let work = |workload: &str, team: &str, priority, waited| WaitingWork {
         workload: workload.to_owned(),
         team: team.to_owned(),
         priority,
         waited: Duration::from_secs(waited),
     };
-    let claimants = [
-        claimant("patient", "idle", Priority::Patient, 10),
-        claimant("normal-busy", "busy", Priority::Normal, 20),
-        claimant("normal-idle", "idle", Priority::Normal, 1),
-        claimant("starving", "busy", Priority::Patient, 601),
-        claimant("urgent", "busy", Priority::Urgent, 0),
+    let waiting = [
+        work("patient", "idle", Priority::Patient, 10),
+        work("normal-busy", "busy", Priority::Normal, 20),
+        work("normal-idle", "idle", Priority::Normal, 1),
+        work("starving", "busy", Priority::Patient, 601),
+        work("urgent", "busy", Priority::Urgent, 0),
     ];
     let busy = Usage { used: Resources::new(50, 0, 0), quota: None };
     let usage = HashMap::from([("busy".to_owned(), busy)]);
-    let order = order(&claimants, &usage, &Resources::new(100, 1000, 0));
-    let names: Vec<&str> = order.into_iter().map(|at| claimants[at].workload.as_str()).collect();
+    let order = order(&waiting, &usage, &Resources::new(100, 1000, 0));
+    let names: Vec<&str> = order.into_iter().map(|index| waiting[index].workload.as_str()).collect();
     assert_eq!(names, ["urgent", "starving", "normal-idle", "normal-busy", "patient"]);
 }
 
 proptest! {
     #[test]
-    fn no_worker_is_ever_committed_beyond_its_capacity(
+    fn worker_capacity_is_never_exceeded(
         sizes in prop::collection::vec((1u32..20, 1u32..40, 0u32..2, 0u8..3), 1..300),
         policy in prop_oneof![Just(Policy::FirstFit), Just(Policy::BestFit), Just(Policy::Aligned)],
     ) {
-        let mut cell = WorkerTable::new((0..8).map(|n| worker(&format!("w{n}"), &format!("r{}", n / 3), 16)));
+        let mut table = WorkerTable::new((0..8).map(|n| worker(&format!("w{n}"), &format!("r{}", n / 3), 16)));
         let capacity = Resources::new(16, 16 * 4096, 0);
         let mut used = [Resources::ZERO; 8];
         for (cores, gib, accelerators, kind) in sizes {
             let each = Resources::new(cores, gib * 1024, accelerators);
             let kind = [Kind::Service, Kind::Batch, Kind::Gang][kind as usize];
             let demand = Demand { each, kind, policy };
-            if let Choice::Placed(at) = choose(&cell, &demand, &Siblings::default()) {
-                prop_assert!(cell.allocate(at, &each));
-                used[at] = used[at].checked_add(&each).unwrap();
-                prop_assert!(used[at].fits_in(&capacity));
+            if let Choice::Placed(index) = choose(&table, &demand, &Siblings::default()) {
+                prop_assert!(table.allocate(index, &each));
+                used[index] = used[index].checked_add(&each).unwrap();
+                prop_assert!(used[index].fits_in(&capacity));
             }
         }
     }
