--- a/components/claim/src/lib.rs
+++ b/components/claim/src/lib.rs
@@ -1,108 +1,107 @@
-//! Who starts new attempts at the tasks of a partition: the owner named by a record in the platform's
-//! key-value service, which changes only by compare-and-swap.
+//! Ownership of partitions. Only the owner of a partition starts new attempts to run its tasks. The owner is recorded in
+//! the platform's key-value service, and the record changes only by compare-and-swap.
 //!
-//! Pure: the record, the view of the hosts and the time go in, the next step comes out.
+//! Pure functions: given the record, the state of the hosts and the time, they return the next step.
 
 use std::time::{Duration, Instant};
 
 use model::{CommandId, Epoch, HostId, Incarnation};
 use serde::{Deserialize, Serialize};
 
-/// The claim on one partition, as it is kept by the platform.
+/// The claim on a partition, as stored in the key-value service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The owner; `None` when it was released.
+    /// The owner; `None` if the claim was released.
     pub owner: Option<Owner>,
-    /// Grows with each change of the owner.
+    /// Increases with each change of the owner.
     pub epoch: Epoch,
-    /// Unique id of the change that wrote this; settles a lost answer by reading back.
+    /// Unique id of the write. If the answer to a write is lost, reading the claim back shows whether it took effect.
     pub change: CommandId,
 }
 
-/// One life of an entry host.
+/// An entry host in one of its incarnations.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Owner {
-    /// The host.
     pub host: HostId,
-    /// Its life.
     pub incarnation: Incarnation,
 }
 
-/// What a host sees when it looks at a partition.
+/// State of a partition as seen by a host.
 #[derive(Clone, Copy, Debug)]
 pub struct View<'a> {
-    /// The record, when there is one.
+    /// The stored claim, if there is one.
     pub claim: Option<&'a Claim>,
-    /// This host, in its present life.
+    /// This host, in its current incarnation.
     pub own: &'a Owner,
-    /// The live host that should own the partition.
+    /// The live host that should own the partition, if any host is live.
     pub winner: Option<&'a str>,
-    /// Whether the recorded owner is live, in the recorded life.
+    /// Whether the recorded owner is live, in the recorded incarnation.
     pub owner_live: bool,
 }
 
-/// What to do about a partition.
+/// What this host does about a partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Own it on.
+    /// Keep owning it.
     Keep,
-    /// Claim it with this epoch.
+    /// Claim it under this epoch.
     Take(Epoch),
-    /// Give it up, so that the winner can claim it at once.
+    /// Release the claim, so that the winner can claim the partition at once.
     Release,
-    /// It is not this host's matter.
+    /// Do nothing, as this host should not own it.
     Leave,
 }
 
-/// The next step for a partition.
+/// Decides the next step for a partition.
 pub fn next_step(view: View<'_>) -> Step {
     let wins = view.winner == Some(view.own.host.as_str());
     let Some(claim) = view.claim else {
         return if wins { Step::Take(1) } else { Step::Leave };
     };
-    let next = claim.epoch + 1;
+    let next_epoch = claim.epoch + 1;
     match &claim.owner {
         Some(owner) if owner == view.own => match view.winner {
             Some(_) if !wins => Step::Release,
             _ => Step::Keep,
         },
-        // A live owner gives it up itself; taking it would make two hosts work on one partition for a while.
+        // A live owner releases the claim itself. Taking it over would let two hosts act for the partition for a while.
         Some(_) if view.owner_live => Step::Leave,
-        _ if wins => Step::Take(next),
+        _ if wins => Step::Take(next_epoch),
         _ => Step::Leave,
     }
 }
 
-/// Whether an owner may act on a claim that it made or read a while ago.
+/// Tracks whether an owner may still act on a claim that it wrote or read earlier.
 ///
-/// A host that was paused wakes up wrong about everything, so a gap between two looks at the clock ends the
-/// authority until the claim is confirmed: at the platform, or, when that is away, by every live peer.
+/// After a pause, everything that a host knows may be out of date. So a long gap between two checks ends the authority
+/// until the claim is confirmed, either by the key-value service or, if that is unreachable, by every live peer.
 #[derive(Clone, Copy, Debug)]
 pub struct Authority {
-    bound: Duration,
-    seen_at: Instant,
+    max_gap: Duration,
+    last_check: Instant,
     confirmed: bool,
 }
 
 impl Authority {
-    /// Authority just won. `bound` is the longest gap that is not a pause.
-    pub fn new(bound: Duration, now: Instant) -> Authority {
-        Authority { bound, seen_at: now, confirmed: true }
+    /// Creates a confirmed authority. A gap between checks that is longer than `max_gap` counts as a pause.
+    pub fn new(max_gap: Duration, now: Instant) -> Authority {
+        Authority { max_gap, last_check: now, confirmed: true }
     }
 
-    /// Looks at the clock. Call often, and immediately before each use. Tells whether the owner may act.
+    /// Returns whether the owner may act. Call this frequently, and immediately before each action.
     pub fn check(&mut self, now: Instant) -> bool {
-        if now.saturating_duration_since(self.seen_at) > self.bound {
+        if now.saturating_duration_since(self.last_check) > self.max_gap {
             self.confirmed = false;
         }
-        self.seen_at = now;
+        self.last_check = now;
         self.confirmed
     }
 
-    /// Notes that the claim was confirmed by an exchange that began at `asked_at`.
+    /// Records that the claim was confirmed by a request sent at `asked_at`. A confirmation that took longer than the
+    /// largest gap is ignored, as this host may have been paused meanwhile.
     pub fn confirm(&mut self, asked_at: Instant, now: Instant) {
-        if now.saturating_duration_since(asked_at) <= self.bound {
-            self.seen_at = now;
+        if now.saturating_duration_since(asked_at) <= self.max_gap {
+            self.last_check = now;
             self.confirmed = true;
         }
     }
--- a/components/claim/tests/claim.rs
+++ b/components/claim/tests/claim.rs
@@ -1,4 +1,4 @@
-//! Claims move only when they must, and a paused owner does not act.
+//! Tests of the changes of claims, and of the authority of a paused owner.
 
 use std::time::{Duration, Instant};
 
@@ -12,48 +12,48 @@
     Claim { owner, epoch, change: Default::default() }
 }
 
-fn look(claim: Option<&Claim>, winner: &str, owner_live: bool) -> Step {
+fn step_of_host_a(claim: Option<&Claim>, winner: &str, owner_live: bool) -> Step {
     next_step(View { claim, own: &owner("a", 7), winner: Some(winner), owner_live })
 }
 
 #[test]
-fn a_free_partition_goes_to_the_winner_alone() {
-    assert_eq!(look(None, "a", false), Step::Take(1));
-    assert_eq!(look(None, "b", false), Step::Leave);
-    assert_eq!(look(Some(&claim(None, 4)), "a", false), Step::Take(5));
+fn only_the_winner_claims_a_free_partition() {
+    assert_eq!(step_of_host_a(None, "a", false), Step::Take(1));
+    assert_eq!(step_of_host_a(None, "b", false), Step::Leave);
+    assert_eq!(step_of_host_a(Some(&claim(None, 4)), "a", false), Step::Take(5));
 }
 
 #[test]
-fn a_live_owner_is_never_robbed() {
-    assert_eq!(look(Some(&claim(Some(owner("b", 1)), 4)), "a", true), Step::Leave);
+fn claim_of_a_live_owner_is_not_taken_over() {
+    assert_eq!(step_of_host_a(Some(&claim(Some(owner("b", 1)), 4)), "a", true), Step::Leave);
 }
 
 #[test]
-fn a_dead_owners_partition_is_taken_with_a_higher_epoch() {
-    assert_eq!(look(Some(&claim(Some(owner("b", 1)), 4)), "a", false), Step::Take(5));
+fn claim_of_a_dead_owner_is_taken_over_with_a_higher_epoch() {
+    assert_eq!(step_of_host_a(Some(&claim(Some(owner("b", 1)), 4)), "a", false), Step::Take(5));
 }
 
 #[test]
-fn an_owner_releases_what_another_should_have() {
-    assert_eq!(look(Some(&claim(Some(owner("a", 7)), 4)), "b", true), Step::Release);
-    assert_eq!(look(Some(&claim(Some(owner("a", 7)), 4)), "a", true), Step::Keep);
+fn owner_releases_a_partition_that_another_host_should_own() {
+    assert_eq!(step_of_host_a(Some(&claim(Some(owner("a", 7)), 4)), "b", true), Step::Release);
+    assert_eq!(step_of_host_a(Some(&claim(Some(owner("a", 7)), 4)), "a", true), Step::Keep);
 }
 
 #[test]
-fn an_earlier_life_of_the_same_host_is_not_its_owner() {
-    assert_eq!(look(Some(&claim(Some(owner("a", 6)), 4)), "a", false), Step::Take(5));
+fn claim_of_an_earlier_incarnation_of_the_host_is_taken_over() {
+    assert_eq!(step_of_host_a(Some(&claim(Some(owner("a", 6)), 4)), "a", false), Step::Take(5));
 }
 
 #[test]
-fn a_pause_ends_authority_until_a_confirmation_that_was_not_itself_paused() {
+fn pause_ends_authority_until_a_confirmation_without_a_pause() {
     let start = Instant::now();
     let at = |seconds| start + Duration::from_secs(seconds);
     let mut authority = Authority::new(Duration::from_secs(1), start);
     assert!(authority.check(at(1)));
     assert!(!authority.check(at(10)), "paused for nine seconds");
-    assert!(!authority.check(at(10)), "and not healed by looking again");
+    assert!(!authority.check(at(10)), "another check does not restore it");
     authority.confirm(at(10), at(30));
-    assert!(!authority.check(at(30)), "the confirmation is from before another pause");
+    assert!(!authority.check(at(30)), "another pause came during the confirmation");
     authority.confirm(at(30), at(31));
     assert!(authority.check(at(31)));
 }
--- a/components/clock/examples/cost.rs
+++ b/components/clock/examples/cost.rs
@@ -1,4 +1,4 @@
-//! What a reading costs: 28 ns where the steady clock takes 21, over ten million readings each.
+//! Measures the cost of reading the clock: 28 ns, against 21 ns for `Instant::now`, over ten million readings each.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -8,14 +8,14 @@
 const READINGS: u32 = 10_000_000;
 
 fn main() {
-    let (clock, began) = (Clock::system(), Instant::now());
+    let (clock, started) = (Clock::system(), Instant::now());
     for _ in 0..READINGS {
         black_box(clock.now());
     }
-    println!("with suspensions: {:?} a reading", began.elapsed() / READINGS);
-    let began = Instant::now();
+    println!("clock with suspensions: {:?} per reading", started.elapsed() / READINGS);
+    let started = Instant::now();
     for _ in 0..READINGS {
         black_box(Instant::now());
     }
-    println!("steady: {:?} a reading", began.elapsed() / READINGS);
+    println!("Instant: {:?} per reading", started.elapsed() / READINGS);
 }
--- a/components/clock/src/lib.rs
+++ b/components/clock/src/lib.rs
@@ -1,54 +1,54 @@
-//! The time that goes on while a machine is suspended.
+//! A monotonic clock that includes the time during which the machine is suspended.
 //!
-//! A suspended machine's steady clock (`std::time::Instant`) stands still, and with it every age that is reckoned by it: a leader that
-//! wakes after ten seconds would take its authority, its leases and what it knows for as fresh as before. Whatever is compared with
-//! another machine's time is reckoned by this clock. Timers and waits stay on the steady clock: one that fires late by a suspension
-//! only acts late, and looks at this clock before it does.
+//! `std::time::Instant` stands still while the machine is suspended, and so does every age computed from it: a leader that
+//! resumes after ten seconds would consider its authority, its leases and its state as fresh as before. So this clock is
+//! used for every time that is compared with the time of another machine. Timers and waits use the monotonic clock: a
+//! timer that is delayed by a suspension only acts late, and checks this clock before it acts.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use nix::time::ClockId;
 
-/// A clock that never goes back and doesn't stand still during a suspension.
+/// A clock that never goes backwards and does not stop while the machine is suspended.
 #[derive(Clone)]
 pub struct Clock(Arc<dyn Fn() -> Duration + Send + Sync>);
 
 impl Clock {
-    /// The machine's: time since its boot, with its suspensions.
+    /// The clock of the system: time since boot, including suspensions.
     ///
     /// # Panics
-    /// The first reading does on a system without such a clock; Linux has had it since 2.6.39.
+    /// Reading the clock panics on a system without `CLOCK_BOOTTIME`; Linux has it since 2.6.39.
     pub fn system() -> Clock {
-        Clock::new(|| ClockId::CLOCK_BOOTTIME.now().expect("a clock that counts suspensions").into())
+        Clock::new(|| ClockId::CLOCK_BOOTTIME.now().expect("the system has CLOCK_BOOTTIME").into())
     }
 
-    /// One that is read by `read`.
+    /// A clock whose time is returned by `read`.
     pub fn new(read: impl Fn() -> Duration + Send + Sync + 'static) -> Clock {
         Clock(Arc::new(read))
     }
 
-    /// Its reading.
+    /// The current time of the clock.
     pub fn now(&self) -> Duration {
         (self.0)()
     }
 
-    /// Starts to count from now.
+    /// Starts a stopwatch.
     pub fn start(&self) -> Stopwatch {
-        Stopwatch { at: self.now(), clock: self.clone() }
+        Stopwatch { started_at: self.now(), clock: self.clone() }
     }
 }
 
-/// A point of time, to reckon from.
+/// Measures the time since its start, including suspensions.
 #[derive(Clone)]
 pub struct Stopwatch {
     clock: Clock,
-    at: Duration,
+    started_at: Duration,
 }
 
 impl Stopwatch {
-    /// Time since then, with suspensions.
+    /// Time since the start, including suspensions.
     pub fn elapsed(&self) -> Duration {
-        self.clock.now().saturating_sub(self.at)
+        self.clock.now().saturating_sub(self.started_at)
     }
 }
--- a/components/clock/tests/clock.rs
+++ b/components/clock/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The clock that goes on during a suspension.
+//! Tests of the clock that includes suspensions.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -7,25 +7,25 @@
 use clock::Clock;
 
 #[test]
-fn a_start_counts_what_its_clock_has_gone_on() {
+fn stopwatch_measures_the_time_of_its_clock() {
     let seconds = Arc::new(AtomicU64::new(5));
-    let read = seconds.clone();
-    let start = Clock::new(move || Duration::from_secs(read.load(Ordering::Relaxed))).start();
-    assert_eq!(start.elapsed(), Duration::ZERO);
+    let current = seconds.clone();
+    let stopwatch = Clock::new(move || Duration::from_secs(current.load(Ordering::Relaxed))).start();
+    assert_eq!(stopwatch.elapsed(), Duration::ZERO);
     seconds.store(15, Ordering::Relaxed);
-    assert_eq!(start.elapsed(), Duration::from_secs(10));
+    assert_eq!(stopwatch.elapsed(), Duration::from_secs(10));
     seconds.store(3, Ordering::Relaxed);
-    assert_eq!(start.elapsed(), Duration::ZERO, "never less than nothing");
+    assert_eq!(stopwatch.elapsed(), Duration::ZERO, "never negative");
 }
 
 #[test]
-fn the_system_clock_never_falls_behind_the_steady_one() {
-    let steady = Instant::now();
-    let start = Clock::system().start();
+fn system_clock_does_not_go_backwards_or_jump() {
+    let instant = Instant::now();
+    let stopwatch = Clock::system().start();
     for _ in 0..1000 {
-        let before = start.elapsed();
-        assert!(before <= start.elapsed());
+        let before = stopwatch.elapsed();
+        assert!(before <= stopwatch.elapsed());
     }
-    let counted = start.elapsed();
-    assert!(counted <= steady.elapsed() + Duration::from_secs(3600), "it starts at nought: {counted:?}");
+    let elapsed = stopwatch.elapsed();
+    assert!(elapsed <= instant.elapsed() + Duration::from_secs(3600), "it starts at zero: {elapsed:?}");
 }
--- a/components/facts/src/lib.rs
+++ b/components/facts/src/lib.rs
@@ -1,8 +1,8 @@
-//! Facts about workers and attempts: what this host publishes of those that it holds, and what its neighbours
-//! publish of theirs. The holder of a worker is the host that published it with the highest epoch; what others
-//! say of it is out of date.
+//! Replicated state (facts) of workers and attempts: what this host publishes about the workers that it holds, and what
+//! the other hosts of the data centre publish about theirs. The holder of a worker is the host that published it with the
+//! highest epoch; facts of other hosts about the worker are out of date.
 //!
-//! No sockets and no clock: what peers sent goes in, and what can be concluded comes out.
+//! Without sockets and clock: callers pass in what peers sent and query the merged state.
 
 use std::collections::HashMap;
 
@@ -14,7 +14,7 @@
 
 type Published = Board<FactKey, Fact>;
 
-struct View {
+struct PeerFacts {
     incarnation: Incarnation,
     board: Published,
 }
@@ -22,53 +22,53 @@
 #[derive(Default)]
 struct State {
     own: Published,
-    views: HashMap<HostId, View>,
-    /// The holder of each worker, by the highest epoch published.
+    peers: HashMap<HostId, PeerFacts>,
+    /// The holder of each worker, with the highest epoch published for it.
     holders: HashMap<WorkerId, (Epoch, HostId)>,
 }
 
-/// All facts of the data centre.
+/// All facts about the workers of the data centre.
 pub struct Facts {
     own_host: HostId,
     state: Mutex<State>,
 }
 
-/// A fact that changed, and that its host is the worker's holder.
+/// A change to a fact that was published by the holder of the worker.
 pub enum Change {
-    /// A worker's state.
+    /// The state of a worker changed.
     Worker,
-    /// An attempt's state, and whether its worker is on probation.
+    /// The state of an attempt changed. The flag tells whether its worker is on probation.
     Task(Id, Attempt, TaskFact, bool),
 }
 
 impl Facts {
-    /// No facts yet, for the host `own_host`.
+    /// Creates an empty state for the host `own_host`.
     pub fn new(own_host: HostId) -> Facts {
         Facts { own_host, state: Mutex::default() }
     }
 
-    /// Version of what this host publishes.
+    /// Version of the facts published by this host.
     pub fn own_version(&self) -> Version {
         self.state.lock().own.version()
     }
 
-    /// What this host published after a version.
+    /// Facts published by this host after the version `since`.
     pub fn own_delta(&self, since: Version) -> Delta<FactKey, Fact> {
         self.state.lock().own.delta(since)
     }
 
-    /// Replaces what this host publishes of one worker, in one step. Returns what changed.
+    /// Replaces the published facts about one worker and its attempts in one step. Returns the changes.
     pub fn publish(&self, worker: &WorkerId, fact: WorkerFact, tasks: Vec<(FactKey, Fact)>) -> Vec<Change> {
         let mut state = self.state.lock();
         let stale: Vec<FactKey> = published_tasks(&state.own, worker)
-            .filter(|key| !tasks.iter().any(|(kept, _)| kept == *key))
+            .filter(|key| !tasks.iter().any(|(current, _)| current == *key))
             .cloned()
             .collect();
         for key in stale {
             state.own.remove(&key);
         }
         let mut changed = Vec::new();
-        note_holder(&mut state.holders, worker, fact.epoch, &self.own_host);
+        update_holder(&mut state.holders, worker, fact.epoch, &self.own_host);
         let probation = fact.probation;
         if state.own.set(FactKey::Worker(worker.clone()), Fact::Worker(fact)) {
             changed.push(Change::Worker);
@@ -84,7 +84,7 @@
         changed
     }
 
-    /// Withdraws a worker that this host does not hold any more.
+    /// Withdraws the facts about a worker that this host no longer holds.
     pub fn withdraw(&self, worker: &WorkerId) {
         let mut state = self.state.lock();
         let keys: Vec<FactKey> = published_tasks(&state.own, worker).cloned().collect();
@@ -94,47 +94,47 @@
         state.own.remove(&FactKey::Worker(worker.clone()));
     }
 
-    /// Whether a neighbour has facts that were not pulled yet.
+    /// Whether a peer has facts that have not been pulled yet.
     pub fn is_behind(&self, host: &HostId, incarnation: Incarnation, version: Version) -> bool {
-        self.state.lock().views.get(host).is_none_or(|view| {
-            view.incarnation < incarnation || (view.incarnation == incarnation && view.board.version() < version)
+        self.state.lock().peers.get(host).is_none_or(|peer| {
+            peer.incarnation < incarnation || (peer.incarnation == incarnation && peer.board.version() < version)
         })
     }
 
-    /// The version to pull from: 0 for a new life of the host.
+    /// The version after which to pull the facts of a peer; 0 for a new incarnation of it.
     pub fn known_version(&self, host: &HostId, incarnation: Incarnation) -> Version {
         let state = self.state.lock();
-        state.views.get(host).filter(|view| view.incarnation == incarnation).map_or(0, |view| view.board.version())
+        state.peers.get(host).filter(|peer| peer.incarnation == incarnation).map_or(0, |peer| peer.board.version())
     }
 
-    /// Takes in what a neighbour sent. Returns what changed of the workers that it holds.
+    /// Applies facts received from a peer. Returns the changes to the workers that it holds.
     pub fn apply(&self, host: &HostId, incarnation: Incarnation, delta: Delta<FactKey, Fact>) -> Vec<Change> {
         let mut guard = self.state.lock();
         let state = &mut *guard;
-        let view = state
-            .views
+        let peer = state
+            .peers
             .entry(host.clone())
-            .and_modify(|view| {
-                if view.incarnation != incarnation {
-                    *view = View { incarnation, board: Board::default() };
+            .and_modify(|peer| {
+                if peer.incarnation != incarnation {
+                    *peer = PeerFacts { incarnation, board: Board::default() };
                 }
             })
-            .or_insert_with(|| View { incarnation, board: Board::default() });
+            .or_insert_with(|| PeerFacts { incarnation, board: Board::default() });
         let items = delta.items.clone();
-        if !view.board.apply(delta) {
+        if !peer.board.apply(delta) {
             return Vec::new();
         }
         let mut changed = Vec::new();
         for (key, fact, _) in items {
             match (key, fact) {
                 (FactKey::Worker(worker), Fact::Worker(fact)) => {
-                    note_holder(&mut state.holders, &worker, fact.epoch, host);
+                    update_holder(&mut state.holders, &worker, fact.epoch, host);
                     changed.push(Change::Worker);
                 }
                 (FactKey::Task(task, attempt), Fact::Task(fact)) => {
-                    let Some(held) = worker_in(&view.board, &fact.worker) else { continue };
-                    let probation = held.probation;
-                    if is_holder(&state.holders, &fact.worker, held.epoch, host) {
+                    let Some(worker_fact) = worker_in(&peer.board, &fact.worker) else { continue };
+                    let probation = worker_fact.probation;
+                    if is_holder(&state.holders, &fact.worker, worker_fact.epoch, host) {
                         changed.push(Change::Task(task, attempt, fact, probation));
                     }
                 }
@@ -144,7 +144,7 @@
         changed
     }
 
-    /// The holder of a worker and its fact.
+    /// The holder of a worker, with the worker's state.
     pub fn holder(&self, worker: &WorkerId) -> Option<(HostId, WorkerFact)> {
         let state = self.state.lock();
         let (epoch, host) = state.holders.get(worker)?;
@@ -152,7 +152,7 @@
         (fact.epoch == *epoch).then(|| (host.clone(), fact.clone()))
     }
 
-    /// The highest epoch that was ever published for a worker.
+    /// The highest epoch ever published for a worker; 0 if there is none.
     pub fn highest_epoch(&self, worker: &WorkerId) -> Epoch {
         self.state.lock().holders.get(worker).map_or(0, |(epoch, _)| *epoch)
     }
@@ -161,10 +161,10 @@
         if *host == self.own_host {
             return Some(&state.own);
         }
-        state.views.get(host).map(|view| &view.board)
+        state.peers.get(host).map(|peer| &peer.board)
     }
 
-    /// Workers that answer and are on their way out.
+    /// Reachable workers that are leaving, that is, drained or about to be removed.
     pub fn leaving(&self) -> Vec<WorkerId> {
         let state = self.state.lock();
         let mut leaving = Vec::new();
@@ -177,7 +177,7 @@
         leaving
     }
 
-    /// Every worker with its holder and fact.
+    /// All workers with their holders and states, sorted by name.
     pub fn workers(&self) -> Vec<(WorkerId, HostId, WorkerFact)> {
         let state = self.state.lock();
         let mut workers = Vec::with_capacity(state.holders.len());
@@ -191,16 +191,18 @@
         workers
     }
 
-    /// Every attempt on a worker, as its holder publishes it, with the holder.
+    /// All attempts, as published by the holders of their workers.
     pub fn tasks(&self) -> Vec<(Id, Attempt, TaskFact)> {
         let state = self.state.lock();
-        let views = state.views.iter().map(|(host, view)| (host, &view.board));
+        let peers = state.peers.iter().map(|(host, peer)| (host, &peer.board));
         let mut tasks = Vec::new();
-        for (host, board) in views.chain([(&self.own_host, &state.own)]) {
+        for (host, board) in peers.chain([(&self.own_host, &state.own)]) {
             for (key, fact) in board.iter() {
                 let (FactKey::Task(task, attempt), Fact::Task(fact)) = (key, fact) else { continue };
-                let held = worker_in(board, &fact.worker);
-                if held.is_some_and(|held| is_holder(&state.holders, &fact.worker, held.epoch, host)) {
+                let worker_fact = worker_in(board, &fact.worker);
+                if worker_fact
+                    .is_some_and(|worker_fact| is_holder(&state.holders, &fact.worker, worker_fact.epoch, host))
+                {
                     tasks.push((task.clone(), *attempt, fact.clone()));
                 }
             }
@@ -208,21 +210,28 @@
         tasks
     }
 
-    /// Whether the holder of a worker, which has its whole inventory, surely does not know an attempt there.
+    /// Whether an attempt is certainly missing on a worker. The holder has the complete inventory of the worker, so this is
+    /// the case if its facts do not contain the attempt.
     ///
-    /// `shown` is where the attempt was last told of. Facts that are older than that say nothing: neither those
-    /// of an earlier holder, nor those that the same holder published before.
-    pub fn is_missing(&self, worker: &WorkerId, task: &Id, attempt: Attempt, shown: Option<&VisibleFrom>) -> bool {
+    /// `visible_from` is where the attempt was last known to be published. Older facts are inconclusive, whether from an
+    /// earlier holder or from an earlier version of the same holder.
+    pub fn is_missing(
+        &self,
+        worker: &WorkerId,
+        task: &Id,
+        attempt: Attempt,
+        visible_from: Option<&VisibleFrom>,
+    ) -> bool {
         let state = self.state.lock();
         let Some((epoch, host)) = state.holders.get(worker) else { return false };
         let Some(board) = self.board_of(&state, host) else { return false };
-        let Some(held) = worker_in(board, worker) else { return false };
-        if held.epoch != *epoch || !held.reachable {
+        let Some(worker_fact) = worker_in(board, worker) else { return false };
+        if worker_fact.epoch != *epoch || !worker_fact.reachable {
             return false;
         }
-        if let Some(shown) = shown {
-            let same_hold = shown.epoch == *epoch;
-            if shown.epoch > *epoch || (same_hold && board.version() < shown.version) {
+        if let Some(visible_from) = visible_from {
+            let same_hold = visible_from.epoch == *epoch;
+            if visible_from.epoch > *epoch || (same_hold && board.version() < visible_from.version) {
                 return false;
             }
         }
@@ -230,12 +239,12 @@
     }
 }
 
-/// Where an attempt was told of: by the holder of this epoch, in its facts from this version on.
+/// The first facts that contain an attempt: those of the holder with this epoch, from this version on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VisibleFrom {
     /// Epoch of the hold.
     pub epoch: Epoch,
-    /// Version of the holder's facts that shows it.
+    /// First version of the holder's facts that contains the attempt.
     pub version: Version,
 }
 
@@ -253,8 +262,8 @@
     }
 }
 
-/// The holder is the host with the highest epoch.
-fn note_holder(holders: &mut HashMap<WorkerId, (Epoch, HostId)>, worker: &WorkerId, epoch: Epoch, host: &HostId) {
+/// Makes `host` the holder if its epoch is the highest so far.
+fn update_holder(holders: &mut HashMap<WorkerId, (Epoch, HostId)>, worker: &WorkerId, epoch: Epoch, host: &HostId) {
     let holder = holders.entry(worker.clone()).or_insert_with(|| (epoch, host.clone()));
     if epoch > holder.0 {
         *holder = (epoch, host.clone());
@@ -262,5 +271,5 @@
 }
 
 fn is_holder(holders: &HashMap<WorkerId, (Epoch, HostId)>, worker: &WorkerId, epoch: Epoch, host: &HostId) -> bool {
-    holders.get(worker).is_some_and(|(highest, by)| *highest == epoch && by == host)
+    holders.get(worker).is_some_and(|(highest, holder)| *highest == epoch && holder == host)
 }
--- a/components/facts/tests/facts.rs
+++ b/components/facts/tests/facts.rs
@@ -1,4 +1,4 @@
-//! What can be concluded from facts of several hosts, some of them out of date.
+//! Tests of the merged facts of several hosts, some of which are out of date.
 
 use board::Board;
 use facts::{Change, Facts, VisibleFrom};
@@ -37,7 +37,7 @@
     (FactKey::Task(id(), ATTEMPT), Fact::Task(fact))
 }
 
-/// What a neighbour publishes, held with `epoch`.
+/// Facts that a peer publishes about a worker that it holds under `epoch`.
 fn published(epoch: u64, with_task: bool) -> Board<FactKey, Fact> {
     let mut board = Board::default();
     board.set(FactKey::Worker("w".to_owned()), Fact::Worker(worker(epoch)));
@@ -48,24 +48,27 @@
     board
 }
 
-fn lacks(facts: &Facts, shown: Option<VisibleFrom>) -> bool {
-    facts.is_missing(&"w".to_owned(), &id(), ATTEMPT, shown.as_ref())
+fn is_missing(facts: &Facts, visible_from: Option<VisibleFrom>) -> bool {
+    facts.is_missing(&"w".to_owned(), &id(), ATTEMPT, visible_from.as_ref())
 }
 
 #[test]
-fn an_earlier_holder_does_not_show_that_an_attempt_is_missing() {
+fn facts_of_an_earlier_holder_do_not_prove_that_an_attempt_is_missing() {
     let facts = Facts::new("a".to_owned());
     facts.apply(&"b".to_owned(), 1, published(4, false).delta(0));
-    // The order was committed by the next holder, whose facts have not come yet.
-    assert!(!lacks(&facts, Some(VisibleFrom { epoch: 5, version: 9 })));
+    // The next holder has started the attempt, but its facts have not arrived yet.
+    assert!(!is_missing(&facts, Some(VisibleFrom { epoch: 5, version: 9 })));
     facts.apply(&"c".to_owned(), 1, published(5, false).delta(0));
-    assert!(!lacks(&facts, Some(VisibleFrom { epoch: 5, version: 9 })), "older than what shows it");
-    assert!(lacks(&facts, Some(VisibleFrom { epoch: 5, version: 1 })));
-    assert!(lacks(&facts, Some(VisibleFrom { epoch: 4, version: 1 })), "the next holder has the whole inventory");
+    assert!(!is_missing(&facts, Some(VisibleFrom { epoch: 5, version: 9 })), "these facts are older than the attempt");
+    assert!(is_missing(&facts, Some(VisibleFrom { epoch: 5, version: 1 })));
+    assert!(
+        is_missing(&facts, Some(VisibleFrom { epoch: 4, version: 1 })),
+        "the next holder has the complete inventory"
+    );
 }
 
 #[test]
-fn only_the_highest_epoch_speaks_for_a_worker() {
+fn only_facts_of_the_highest_epoch_count() {
     let facts = Facts::new("a".to_owned());
     facts.apply(&"c".to_owned(), 1, published(5, false).delta(0));
     let late = facts.apply(&"b".to_owned(), 1, published(4, true).delta(0));
@@ -75,23 +78,23 @@
 }
 
 #[test]
-fn facts_of_an_earlier_life_of_a_host_are_forgotten() {
+fn facts_of_an_earlier_incarnation_of_a_host_are_dropped() {
     let facts = Facts::new("a".to_owned());
     facts.apply(&"b".to_owned(), 1, published(4, true).delta(0));
     assert_eq!(facts.tasks().len(), 1);
-    assert_eq!(facts.known_version(&"b".to_owned(), 2), 0, "a new life is pulled whole");
+    assert_eq!(facts.known_version(&"b".to_owned(), 2), 0, "all facts of a new incarnation are pulled");
     facts.apply(&"b".to_owned(), 2, published(5, false).delta(0));
     assert!(facts.tasks().is_empty());
 }
 
 #[test]
-fn a_worker_and_its_tasks_are_published_in_one_step() {
+fn worker_and_its_tasks_are_published_together() {
     let facts = Facts::new("a".to_owned());
     let changed = facts.publish(&"w".to_owned(), worker(1), vec![running()]);
     assert_eq!(changed.len(), 2);
-    assert!(facts.publish(&"w".to_owned(), worker(1), vec![running()]).is_empty(), "nothing new");
+    assert!(facts.publish(&"w".to_owned(), worker(1), vec![running()]).is_empty(), "nothing has changed");
     facts.publish(&"w".to_owned(), worker(1), Vec::new());
-    assert!(lacks(&facts, None));
+    assert!(is_missing(&facts, None));
     facts.withdraw(&"w".to_owned());
-    assert!(!lacks(&facts, None), "nobody speaks for it now");
+    assert!(!is_missing(&facts, None), "no host publishes the worker now");
 }
--- a/components/worker/src/client.rs
+++ b/components/worker/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls a worker over HTTP.
+//! HTTP client for workers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,58 +8,59 @@
 
 use crate::protocol::{Batch, Hold, Refusal, Report};
 
-const MAX_REPORT: usize = 1024 * 1024;
+/// Largest accepted report in bytes.
+const MAX_REPORT_BYTES: usize = 1024 * 1024;
 const CONFLICT: u16 = 409;
 
-/// Why a worker gave no report.
+/// A call to a worker that returned no report.
 #[derive(Debug, Error)]
 pub enum WorkerError {
     /// Another host holds the worker under a higher epoch.
     #[error("superseded by {} with epoch {}", .0.holder, .0.epoch)]
     Superseded(Refusal),
-    /// The command surely did not arrive.
+    /// The request certainly did not reach the worker.
     #[error("not sent: {0}")]
     NotSent(String),
-    /// The command may have been carried out.
+    /// The worker may have executed the commands.
     #[error("unknown: {0}")]
     Unknown(String),
 }
 
-/// What the product needs of a worker.
+/// The calls that a worker supports.
 #[async_trait]
 pub trait Worker: Send + Sync {
-    /// Takes the worker over.
+    /// Takes over the worker.
     async fn hold(&self, hold: &Hold) -> Result<Report, WorkerError>;
-    /// Renews all leases and carries out commands.
+    /// Renews all leases and executes commands.
     async fn batch(&self, batch: &Batch) -> Result<Report, WorkerError>;
 }
 
-/// A worker behind an address.
+/// HTTP client for one worker.
 pub struct Client {
     http: web::Client,
     base: String,
 }
 
 impl Client {
-    /// Creates a client for the worker at `address`; each call ends after `timeout`.
+    /// Creates a client for the worker at `address`. Calls time out after `timeout`.
     pub fn new(address: SocketAddr, timeout: Duration) -> Client {
-        Client { http: web::Client::new(timeout, MAX_REPORT), base: format!("http://{address}/v1") }
+        Client { http: web::Client::new(timeout, MAX_REPORT_BYTES), base: format!("http://{address}/v1") }
     }
 }
 
 #[async_trait]
 impl Worker for Client {
     async fn hold(&self, hold: &Hold) -> Result<Report, WorkerError> {
-        self.http.post(&format!("{}/hold", self.base), hold).await.map_err(from_web)
+        self.http.post(&format!("{}/hold", self.base), hold).await.map_err(convert_error)
     }
 
     async fn batch(&self, batch: &Batch) -> Result<Report, WorkerError> {
-        self.http.post(&format!("{}/batch", self.base), batch).await.map_err(from_web)
+        self.http.post(&format!("{}/batch", self.base), batch).await.map_err(convert_error)
     }
 }
 
-fn from_web(fault: web::Fault) -> WorkerError {
-    match fault {
+fn convert_error(error: web::Fault) -> WorkerError {
+    match error {
         web::Fault::NotSent(message) => WorkerError::NotSent(message),
         web::Fault::Status { status, body } if status.as_u16() == CONFLICT => match serde_json::from_str(&body) {
             Ok(refusal) => WorkerError::Superseded(refusal),
--- a/components/worker/src/lib.rs
+++ b/components/worker/src/lib.rs
@@ -1,9 +1,9 @@
-//! The edge to workers: what is said over HTTP, and the client that says it.
+//! HTTP protocol of the workers, and a client for it.
 //!
-//! A worker is held by one entry host at a time. The hold has an epoch that the worker keeps and that only
-//! grows; a command under a lower epoch is refused. A task runs under a lease, which the holder renews with
-//! each batch; when it lapses, the worker ends the task itself. An ended task stays in the worker's report
-//! until it is acknowledged.
+//! A worker is held by one entry host at a time. Each hold has an epoch that the worker stores and that only increases; a
+//! command with a lower epoch is rejected. A task runs under a lease that the holder renews with each batch; when the
+//! lease expires, the worker ends the task itself. An ended task remains in the worker's reports until it is
+//! acknowledged.
 
 mod client;
 mod protocol;
--- a/components/worker/src/protocol.rs
+++ b/components/worker/src/protocol.rs
@@ -1,4 +1,4 @@
-//! The JSON bodies exchanged with a worker.
+//! JSON bodies of the requests to a worker and of its responses.
 
 use std::net::SocketAddr;
 
@@ -6,97 +6,75 @@
 use model::{Epoch, HostId, Incarnation, Resources};
 use serde::{Deserialize, Serialize};
 
-/// Body of `POST /v1/hold`: takes the worker over when `epoch` is above the one it keeps.
+/// Body of `POST /v1/hold`: takes over the worker if `epoch` is higher than the one it has stored.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Hold {
-    /// The entry host that wants to hold it.
+    /// The entry host that takes over the worker.
     pub holder: HostId,
     /// Epoch of the hold.
     pub epoch: Epoch,
 }
 
-/// Body of `POST /v1/batch`: renews the lease of every task and carries commands.
+/// Body of `POST /v1/batch`: renews the leases of all tasks and sends commands.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Batch {
     /// Epoch of the hold.
     pub epoch: Epoch,
-    /// Grows with each batch under one epoch; a worker refuses one that was overtaken by a later one.
+    /// Increases with each batch of an epoch. A worker rejects a batch that arrives after a later one.
     pub sequence: u64,
-    /// Stamp of the last report that the holder received. Leases count from it, by the worker's own clock, so
-    /// that a batch that was held up on its way prolongs nothing beyond what its sender reckons with.
+    /// [`Report::stamp_ms`] of the last report that the holder received. Leases are counted from this time on the worker's
+    /// own clock, so that a delayed batch can't extend them beyond what the holder assumes.
     pub stamp_ms: u64,
-    /// Lease of all tasks from the stamp on, in milliseconds.
+    /// Lease of all tasks in milliseconds, counted from the stamp.
     pub lease_ms: u64,
-    /// Carried out in order.
+    /// Commands to execute in this order.
     pub commands: Vec<Command>,
 }
 
-/// One command. Repeating one changes nothing.
+/// A command to a worker. Commands are idempotent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "command")]
 pub enum Command {
-    /// Start an attempt, unless it is known already.
+    /// Starts an attempt, unless the worker already knows it.
     Start {
-        /// What.
         task: Id,
-        /// Which attempt.
         attempt: Attempt,
-        /// Its size.
+        /// Resources committed to the attempt.
         resources: Resources,
-        /// The program.
+        /// The program to run.
         run: String,
-        /// Whether it answers callers; the worker then reports its address.
+        /// Whether it serves requests; if so, the worker reports its address.
         service: bool,
-        /// Whether it may be stopped for urgent work; kept, so that the next holder knows it.
+        /// Whether it may be preempted by urgent work. The worker stores this for the next holder.
         patient: bool,
     },
-    /// Stop an attempt; it may finish what it has in flight. One that is not known is recorded as stopped, so
-    /// that it can't start afterwards.
-    Stop {
-        /// What.
-        task: Id,
-        /// Which attempt.
-        attempt: Attempt,
-    },
-    /// Run an attempt at a part of its processors, in percent.
+    /// Stops an attempt, which may finish its requests in flight. An unknown attempt is recorded as stopped, so that it
+    /// can't start later.
+    Stop { task: Id, attempt: Attempt },
+    /// Limits an attempt to a percentage of its processors.
     Throttle {
-        /// What.
         task: Id,
-        /// Which attempt.
         attempt: Attempt,
         /// From 1 to 100.
         percent: u8,
     },
-    /// Save an attempt's progress, so that the next one goes on from there.
-    Checkpoint {
-        /// What.
-        task: Id,
-        /// Which attempt.
-        attempt: Attempt,
-    },
-    /// Forget an ended attempt; its end is durable.
-    Acknowledge {
-        /// What.
-        task: Id,
-        /// Which attempt.
-        attempt: Attempt,
-    },
+    /// Saves the progress of an attempt, so that the next attempt continues from it.
+    Checkpoint { task: Id, attempt: Attempt },
+    /// Removes an ended attempt from the reports, as its end is stored durably.
+    Acknowledge { task: Id, attempt: Attempt },
 }
 
 /// The state of an attempt on a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "state")]
 pub enum AttemptState {
-    /// It runs.
     Running {
-        /// Where a service instance answers.
+        /// Address on which a service instance serves requests.
         address: Option<SocketAddr>,
     },
-    /// It has been told to stop.
+    /// It was told to stop.
     Stopping,
-    /// It has ended.
     Ended {
-        /// How.
         end: End,
     },
 }
@@ -104,43 +82,40 @@
 /// An attempt on a worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptReport {
-    /// What.
     pub task: Id,
-    /// Which attempt.
     pub attempt: Attempt,
-    /// Its committed size.
+    /// Resources committed to the attempt.
     pub resources: Resources,
-    /// Whether it may be stopped for urgent work.
+    /// Whether it may be preempted by urgent work.
     pub patient: bool,
-    /// How it is.
     pub run: AttemptState,
-    /// Run time since the last checkpoint, which a stop would lose, in milliseconds.
+    /// Run time in milliseconds since the last checkpoint, which a stop would lose.
     #[serde(default)]
     pub unsaved_ms: u64,
-    /// Late usage: what it was seen to use, when that is known.
+    /// Most recent resource usage, if known.
     pub usage: Option<Resources>,
 }
 
-/// The answer to `hold` and `batch`: all that the worker has.
+/// Response to `hold` and `batch`: the complete state of the worker.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Report {
-    /// The worker's life; a new one starts empty.
+    /// Incarnation of the worker; a new one starts without tasks.
     pub incarnation: Incarnation,
-    /// The worker's monotonic clock, in milliseconds, when it made this report.
+    /// Time of this report in milliseconds, on the worker's monotonic clock.
     pub stamp_ms: u64,
-    /// All that the worker offers.
+    /// Total resources of the worker.
     pub capacity: Resources,
-    /// Whether it is on its way out.
+    /// Whether the worker is about to be removed.
     pub leaving: bool,
-    /// All attempts, ended ones until they are acknowledged.
+    /// All attempts, including those that ended and are not acknowledged yet.
     pub tasks: Vec<AttemptReport>,
 }
 
-/// The answer with status 409: the epoch was too low.
+/// Response with status 409: the epoch was too low.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Refusal {
-    /// The epoch that the worker keeps.
+    /// The epoch stored by the worker.
     pub epoch: Epoch,
-    /// Its holder.
+    /// The holder with that epoch.
     pub holder: HostId,
 }
