--- a/components/entry/src/reign/accept.rs
+++ b/components/entry/src/reign/accept.rs
@@ -43,12 +43,12 @@
     /// Why a job isn't taken, whatever the store says: another workspace has its id, or it can never run.
     fn unacceptable(&self, scope: &Scope, id: JobId, job: &Job) -> Option<Answer> {
         let mut engine = self.engine.lock();
-        if engine.keeps(id) {
+        if engine.has_job(id) {
             return (!scope.shows(engine.workspace(id))).then_some(Answer::IdTaken);
         }
         let Scope::Only(Some(workspace)) = scope else { return None };
         let excess = engine.excess(workspace, job)?;
-        emit!(self.host.log, events::JOB_REFUSED, "job" => work::job_name(id), "why" => excess.to_string(),
+        emit!(self.host.log, events::JOB_REFUSED, "job" => work::format_job_id(id), "why" => excess.to_string(),
             "workspace" => workspace, "config" => self.host.config().version, "term" => self.term);
         Some(Answer::Excessive(excess))
     }
@@ -61,7 +61,7 @@
 
     fn refuse(&self, id: JobId, objective: Duration) -> Answer {
         let after = retry_after(objective);
-        emit!(self.host.log, events::JOB_REFUSED, "job" => work::job_name(id), "why" => "the store is away",
+        emit!(self.host.log, events::JOB_REFUSED, "job" => work::format_job_id(id), "why" => "the store is away",
             "retry_after_ms" => after.as_millis() as u64, "term" => self.term);
         Answer::Refused(after)
     }
@@ -72,7 +72,7 @@
             return refusal;
         }
         let objective = self.engine.lock().objective(&queue, &job);
-        if self.store_away() && !self.engine.lock().keeps(id) {
+        if self.store_away() && !self.engine.lock().has_job(id) {
             return self.refuse(id, objective);
         }
         let owner = scope.owner(queue);
@@ -92,7 +92,7 @@
             }
         }
         // Another caller of the same id may have given up and taken it back.
-        match self.engine.lock().keeps(id) {
+        match self.engine.lock().has_job(id) {
             true => Answer::Accepted,
             false => Answer::Refused(retry_after(objective)),
         }
--- a/components/model/src/reason.rs
+++ b/components/model/src/reason.rs
@@ -137,7 +137,7 @@
             Reason::OverQuota { .. } => "raise the quota, or cancel other work of the team",
             Reason::InDoubt { .. } => "bring the worker back, or remove it from the host list",
             Reason::Parked { .. } => "fix it, then submit or change it again",
-            Reason::NoOwner | Reason::Recovering { .. } => "wait; `show hosts` lists the hosts that are not live",
+            Reason::NoOwner | Reason::Recovering { .. } => "wait; `show hosts` shows which hosts are live",
             _ => "",
         }
     }
--- a/components/request/src/ownership.rs
+++ b/components/request/src/ownership.rs
@@ -6,7 +6,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, SystemTime};
 
-use member::winner;
+use member::highest_ranked;
 use model::HostId;
 
 /// Largest number of past host lists that are kept. Discarding one shortens the time for which ownership is known.
@@ -121,5 +121,5 @@
 }
 
 fn owner<'a>(key: &str, hosts: &'a [HostId]) -> Option<&'a str> {
-    winner(key, hosts.iter().map(String::as_str))
+    highest_ranked(key, hosts.iter().map(String::as_str))
 }
