--- a/components/sched/src/place.rs
+++ b/components/sched/src/place.rs
@@ -13,22 +13,22 @@
 use crate::rank::Candidate;
 use crate::reports::taken_room;
 use crate::room::{Choice, Room};
-use crate::worker::{self, Contact, Pauses, Run, Worker};
+use crate::worker::{self, Contact, ExtraDelays, Run, Worker};
 
-/// Whether a question would help a unit is looked at again after this time: about as often as room changes.
+/// Interval after which further questions for a unit are considered: about as often as room changes.
 const ASK_INTERVAL: Duration = Duration::from_millis(50);
-/// Up to so many waiting units are looked at in each pass.
+/// Number of waiting units up to which every pass tries all of them.
 const MAX_UNITS_PER_PASS: usize = 16;
-/// Where more wait, a unit for which there was no place is looked at again after this time, unless it learns of workers: looks at all
-/// workers for all units in each pass would take the leader's time.
+/// When more units wait, one that found no place is tried again after this interval, unless it learns of new workers.
+/// Checking all workers for all units in every pass would take too much of the leader's CPU time.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// Rounds of one job that are taken up in one pass.
+/// Maximum number of rounds of one job that are opened in one pass.
 const MAX_ROUNDS_PER_PASS: u32 = 16;
-/// Units of one job that may be open before further rounds are taken up.
+/// No further rounds of a job are opened while it has this many unfinished units.
 const MAX_OPEN_UNITS: usize = 256;
 
 impl Engine {
-    /// Starts what can be started, asks what must be known, stops what is left of broken gangs.
+    /// Runs one scheduling pass: starts tasks, asks the adviser, and stops the remaining members of broken gangs.
     pub fn plan(&mut self, clock: Clock) {
         if std::mem::take(&mut self.reconfigured) {
             self.fail_exhausted(clock);
@@ -43,7 +43,7 @@
         }
         self.recount_quota();
         let mut room = self.fresh_room(clock);
-        candidates.iter().for_each(|candidate| self.keep_claims(clock, candidate.unit, &mut room));
+        candidates.iter().for_each(|candidate| self.apply_claims(clock, candidate.unit, &mut room));
         if self.has_spare_processor() {
             room.count_cores();
         }
@@ -61,13 +61,14 @@
         if self.settled {
             return self.drop_unseen(clock);
         }
-        let waits = self.predecessor_active + self.limits.surely_lapsed();
+        let waits = self.predecessor_active + self.limits.lease_lapse_time();
         self.settled = clock.now.saturating_sub(self.term_start) > waits;
     }
 
-    /// Workers that have never answered and that nobody lists any more, and whose leases have run out: those of earlier reigns have, by now.
+    /// Ends workers that have never answered in this term, aren't listed any more, and whose leases have expired:
+    /// leases of earlier terms have expired by now.
     fn drop_unseen(&mut self, clock: Clock) {
-        let longest = self.limits.longest_lease();
+        let longest = self.limits.max_lease_lapse_time();
         let over = |worker: &Worker| {
             !worker.follows_earlier_incarnation || clock.now.saturating_sub(worker.last_heard) > longest
         };
@@ -82,7 +83,7 @@
         let ids: Vec<_> = self.live.iter().copied().collect();
         for id in ids {
             let Some(entry) = self.jobs.get_mut(&id) else { continue };
-            // Rounds that fell due while nobody led are taken up a few at a time.
+            // Rounds that became due while there was no leader are opened a few at a time.
             let unfinished = entry.units.values().filter(|unit| !unit.is_complete()).count();
             let most = entry.opened.saturating_add(MAX_ROUNDS_PER_PASS);
             while entry.opened < entry.job.rounds() && entry.job.due(entry.opened) <= clock.wall {
@@ -94,41 +95,42 @@
         }
     }
 
-    /// The room on all workers that may get new work.
+    /// The room on all usable workers.
     pub(crate) fn room(&self, clock: Clock) -> Room {
-        let pauses = self.pauses();
-        Room::new(self.usable(clock, pauses), clock.now, pauses)
+        let extra_delays = self.extra_delays();
+        Room::new(self.usable(clock, extra_delays), clock.now, extra_delays)
     }
 
-    /// The room of the last pass, brought up to date: a new one costs more than a look at each worker.
+    /// The room of the last pass, updated: rebuilding it costs more than a look at each worker.
     fn fresh_room(&mut self, clock: Clock) -> Room {
         let mut room = std::mem::take(&mut self.room);
-        let pauses = self.pauses();
-        match room.refresh(self.usable(clock, pauses), clock.now, pauses) {
+        let extra_delays = self.extra_delays();
+        match room.refresh(self.usable(clock, extra_delays), clock.now, extra_delays) {
             true => room,
             false => self.room(clock),
         }
     }
 
-    /// Workers that may get new work, in the order of their names.
-    fn usable(&self, clock: Clock, pauses: Pauses) -> impl Iterator<Item = (&WorkerId, &Worker)> {
+    /// Workers that may get new work, by name.
+    fn usable(&self, clock: Clock, extra_delays: ExtraDelays) -> impl Iterator<Item = (&WorkerId, &Worker)> {
         let durable = self.durable;
-        self.workers.iter().filter(move |(_, worker)| worker.usable(clock.now, durable, pauses))
+        self.workers.iter().filter(move |(_, worker)| worker.usable(clock.now, durable, extra_delays))
     }
 
-    /// By when a start that is decided now reaches its worker. A busy leader takes long over its record and the order: a ticket that has
-    /// run out by then breaks a gang.
+    /// The expected arrival of a start that is decided now at its worker. On a busy leader the record and the order
+    /// take long, and a ticket that has expired by then breaks a gang.
     pub(crate) fn start_arrival(&self, clock: Clock) -> Duration {
         let usual = self.start_latency.timeout(TICKET_MARGIN, MAX_TICKET_MARGIN);
         clock.now + if self.start_latency.smoothed().is_some() { usual } else { TICKET_MARGIN }
     }
 
-    /// Whether a unit that found no place lately is passed over. Not one for which room is kept.
+    /// Whether a unit is skipped because it found no place recently and no room is reserved for it.
     fn is_deferred(&self, clock: Clock, unit: Unit) -> bool {
         self.unit(unit).is_some_and(|state| clock.now < state.retry_at && state.claims.is_empty())
     }
 
-    /// Starts what can be started of a unit, and asks about the rest.
+    /// Starts the tasks of a unit that can be started, asks the adviser for the others, and preempts less urgent
+    /// runs.
     fn schedule_unit(&mut self, clock: Clock, candidate: &Candidate, room: &mut Room) {
         let unit = candidate.unit;
         if let Some(state) = self.unit_mut(unit) {
@@ -147,13 +149,13 @@
         if step.gang && state.pending != state.tasks.len() {
             return;
         }
-        let most = self.quota.tasks(entry.workspace, &step.need);
+        let most = self.quota.startable_tasks(entry.workspace, &step.need);
         if most < if step.gang { state.pending } else { 1 } {
             return self.reserve_gang_quota(unit, step);
         }
-        // A job that isn't kept yet is placed all the same: its starts are sent after its own record is written.
-        let kept = entry.accepted.position <= self.durable;
-        // Nor is it asked about meanwhile: its tickets would run out.
+        // A job that isn't durable yet is placed anyway: its starts are sent after its own record is written.
+        let is_durable = entry.accepted.position <= self.durable;
+        // Nor does it keep asking the adviser meanwhile, since the tickets would expire.
         let left = self.headroom_limit(clock, unit, step, &queue, room);
         if left == 0 {
             return self.defer(clock, unit);
@@ -166,49 +168,49 @@
         } else {
             self.start(clock, unit, step, choices, room);
         }
-        // Until then it asks once: the store may be away for long.
-        if kept || self.unit(unit).is_some_and(|state| state.advice.is_new()) {
+        // Before the job is durable it asks only once: a store outage may be long.
+        if is_durable || self.unit(unit).is_some_and(|state| state.advice.is_new()) {
             self.ask(clock, unit, &queue, room);
         }
-        if kept && candidate.on_time() {
-            self.make_room(clock, unit, step, &queue, room);
+        if is_durable && candidate.on_time() {
+            self.preempt_for(clock, unit, step, &queue, room);
         }
-        if kept && self.assembles(clock, unit, step) {
+        if is_durable && self.should_assemble(clock, unit, step) {
             self.assemble(clock, unit, step, &queue, room);
         }
-        self.keep_claims(clock, unit, room);
+        self.apply_claims(clock, unit, room);
         self.reserve_claimed_quota(unit);
     }
 
-    /// Keeps what a gang needs of its workspace's limit while room is put together for it: else it would be stopped short by the limit
-    /// once there is room.
+    /// Reserves a gang's share of its workspace's limit while room is assembled for it. Otherwise it would hit the
+    /// limit once there is room.
     fn reserve_claimed_quota(&mut self, unit: Unit) {
         let Some(entry) = self.jobs.get(&unit.job) else { return };
         let Some(step) = entry.step(unit.step).filter(|step| step.gang) else { return };
         let Some(state) = entry.units.get(&(unit.round, unit.step)).filter(|state| !state.claims.is_empty()) else {
             return;
         };
-        self.quota.take(entry.workspace, &step.need, state.pending);
+        self.quota.add_usage(entry.workspace, &step.need, state.pending);
     }
 
-    /// A unit waits for its workspace's limit. What a gang needs of it is kept from less urgent units of the same workspace, whose
-    /// small tasks would else use up whatever comes free.
+    /// Reserves what a gang that waits for its workspace's limit needs of it. Otherwise small tasks of less urgent
+    /// units of the same workspace would use up whatever becomes free.
     fn reserve_gang_quota(&mut self, unit: Unit, step: &Step) {
         if step.gang {
             let workspace = self.jobs.get(&unit.job).and_then(|entry| entry.workspace);
-            self.quota.take(workspace, &step.need, step.count as usize);
+            self.quota.add_usage(workspace, &step.need, step.count as usize);
         }
     }
 
-    /// There was no place for a unit.
+    /// Skips a unit that found no place for [`RETRY_INTERVAL`].
     fn defer(&mut self, clock: Clock, unit: Unit) {
         if let Some(state) = self.unit_mut(unit) {
             state.retry_at = clock.now + RETRY_INTERVAL;
         }
     }
 
-    /// Keeps the room that is being made for a unit from all others.
-    fn keep_claims(&mut self, clock: Clock, unit: Unit, room: &mut Room) {
+    /// Withholds the room that is reserved for a unit from all others.
+    fn apply_claims(&mut self, clock: Clock, unit: Unit, room: &mut Room) {
         let Some(entry) = self.jobs.get_mut(&unit.job) else { return };
         let Some(need) = entry.step(unit.step).map(taken_room) else { return };
         let Some(state) = entry.units.get_mut(&(unit.round, unit.step)) else { return };
@@ -216,27 +218,26 @@
         room.claim(&state.claims, &need);
     }
 
-    /// Puts the next questions for a unit whose tasks wait, where its queue has an adviser.
+    /// Asks the next questions for a unit with pending tasks whose queue has an adviser.
     fn ask(&mut self, clock: Clock, unit: Unit, queue: &Queue, room: &Room) {
         let Some(advice) = queue.advice else { return };
         let Some(state) = self.unit(unit) else { return };
         if state.pending == 0 || clock.now < state.advice.ask_at {
             return;
         }
-        // Then places are found where others can be stopped, too.
+        // Room that preemption can free counts, too.
         let step = self.jobs.get(&unit.job).and_then(|entry| entry.step(unit.step));
-        let assembles = step.is_some_and(|step| self.assembles(clock, unit, step));
+        let assembles = step.is_some_and(|step| self.should_assemble(clock, unit, step));
         if assembles {
             self.refresh_reclaimable(clock, queue.priority);
         }
-        let questions = self.questions(clock, &Inquiry { unit, advice, queue, room, assembles });
+        let questions = self.questions(clock, &Inquiry { unit, advice, queue, room, count_preemptible: assembles });
         if let Some(state) = self.unit_mut(unit) {
             state.advice.ask_at = clock.now + ASK_INTERVAL;
         }
         questions.into_iter().for_each(|question| self.send_question(question));
     }
 
-    /// Has a question asked.
     fn send_question(&mut self, question: Question) {
         if let Some(state) = self.unit_mut(question.unit) {
             state.advice.asking.extend(question.workers.iter().cloned());
@@ -248,8 +249,8 @@
         let need = taken_room(step);
         let gang_attempt = self.unit(unit).map(|state| self.attempt(state.starts));
         let charge = self.jobs.get(&unit.job).and_then(|entry| entry.charge(unit.step));
-        let stoppable = self.stoppable_for(unit, step);
-        self.quota.take(charge.map(|charge| charge.workspace), &step.need, choices.len());
+        let preemptible = self.preemption_priority(unit, step);
+        self.quota.add_usage(charge.map(|charge| charge.workspace), &step.need, choices.len());
         if step.gang
             && let Some(state) = self.unit_mut(unit)
         {
@@ -271,11 +272,11 @@
                 phase,
                 need,
                 charge,
-                stoppable,
+                preemptible,
                 percent: 0,
                 progressed_at: now,
                 decided_at: now,
-                begun: None,
+                started_at: None,
                 listed: false,
                 seen_running: false,
                 suspect,
@@ -296,12 +297,12 @@
         }
     }
 
-    /// Whether no waiting task of a unit may still run where an earlier leader has placed it.
+    /// Whether no pending task of a unit may still run where an earlier leader placed it.
     pub(crate) fn resolved(&self, state: &UnitState) -> bool {
         self.unresolved(state).is_none()
     }
 
-    /// A worker on which an earlier leader placed a task that waits now, and which hasn't answered yet.
+    /// A worker that hasn't answered yet and on which an earlier leader placed a task that is pending now.
     pub(crate) fn unresolved<'a>(&self, state: &'a UnitState) -> Option<&'a WorkerId> {
         if self.settled {
             return None;
@@ -310,8 +311,8 @@
         state.tasks.iter().filter_map(|task| task.inherited.as_ref()).map(|run| &run.worker).find(open)
     }
 
-    /// Sends the starts whose records are durable, unless they have become pointless meanwhile.
-    pub(crate) fn send_decided(&mut self, clock: Clock) {
+    /// Sends the starts whose records are durable, unless they have become pointless.
+    pub(crate) fn send_durable_starts(&mut self, clock: Clock) {
         while let Some((position, worker, start)) = self.unsent_starts.pop_front() {
             if position > self.durable {
                 self.unsent_starts.push_front((position, worker, start));
@@ -325,8 +326,8 @@
         }
     }
 
-    /// Whether a start that was given out and not sent yet is still to be sent: neither was a stop decided, nor does its worker leave, nor
-    /// has its room shrunk below what it would run.
+    /// Whether a start that hasn't been sent yet is still to be sent. It isn't if a stop was decided, the worker is
+    /// draining or evacuated, or its capacity has shrunk below the needs of its runs.
     pub fn is_start_wanted(&self, worker: &str, task: Task, attempt: Attempt) -> bool {
         let Some(worker) = self.workers.get(worker) else { return false };
         let run = worker.runs.get(&(task, attempt));
@@ -348,10 +349,10 @@
         let attempt = if step.gang { gang_attempt? } else { self.attempt(term_attempt) };
         let state = self.unit_mut(task.unit)?;
         let ticket = state.advice.healthy.get(worker).map(|ticket| ticket.text.clone());
-        let gang_saved = state.saved.clone();
+        let gang_checkpoint = state.checkpoint.clone();
         let own = state.tasks.get_mut(task.index as usize)?;
         own.starts += 1;
-        let saved = if step.gang { gang_saved } else { own.saved.clone() };
-        Some(Start { task, attempt, job, saved, ticket })
+        let checkpoint = if step.gang { gang_checkpoint } else { own.checkpoint.clone() };
+        Some(Start { task, attempt, job, checkpoint, ticket })
     }
 }
--- a/components/sched/tests/decisions/cell/mod.rs
+++ b/components/sched/tests/decisions/cell/mod.rs
@@ -51,7 +51,7 @@
         let clock = Clock::default();
         let mut engine = Engine::new(limits, term, config, clock.now);
         log.iter().cloned().for_each(|record| engine.replay(clock, record));
-        engine.replayed(clock);
+        engine.finish_replay(clock);
         let infos = (0..workers).map(|number| (format!("w{number}"), info(number))).collect();
         Cell { engine, now: Duration::ZERO, log: log.to_vec(), infos, numbers: BTreeMap::new() }
     }
@@ -74,7 +74,7 @@
         while self.engine.has_pending_records() {
             let (records, upto) = self.engine.take_records(1_000_000);
             self.log.extend(records);
-            self.engine.written(self.clock(), upto);
+            self.engine.mark_durable(self.clock(), upto);
         }
     }
 
@@ -127,7 +127,8 @@
     pub fn end_beside(&mut self, worker: &str, start: &Start, how: RunOutcome, others: &[Running]) {
         let number = self.numbers.entry(worker.to_owned()).or_default();
         *number += 1;
-        let end = End { number: *number, task: start.task, attempt: start.attempt, how, saved: String::new() };
+        let end =
+            End { number: *number, task: start.task, attempt: start.attempt, outcome: how, checkpoint: String::new() };
         self.report(worker, others, &[end]);
         self.write();
     }
@@ -139,7 +140,7 @@
 }
 
 pub fn running(start: &Start) -> Running {
-    Running { task: start.task, attempt: start.attempt, saved: String::new(), percent: 10 }
+    Running { task: start.task, attempt: start.attempt, checkpoint: String::new(), percent: 10 }
 }
 
 /// A step of so many tasks with so many cores each.
