--- a/components/node/src/answer.rs
+++ b/components/node/src/answer.rs
@@ -38,7 +38,7 @@
         }
         Request::Show { statement } => match show::local_rows(shared, &statement) {
             Ok(rows) => Answer::Rows(rows),
-            Err(why) => Answer::Refused(why),
+            Err(reason) => Answer::Refused(reason),
         },
         Request::Keys { from, keys, last } => {
             if !shared.gateway.take_keys(&keys) {
--- a/components/node/src/claims.rs
+++ b/components/node/src/claims.rs
@@ -111,9 +111,9 @@
             true
         }
         Ok(_) => false,
-        Err(fault) => {
-            events::emit!(shared.log, events::PLATFORM_FAILED, "call" => "claim", "why" => fault.to_string());
-            if fault.may_have_happened() {
+        Err(error) => {
+            events::emit!(shared.log, events::PLATFORM_FAILED, "call" => "claim", "why" => error.to_string());
+            if error.may_have_happened() {
                 read_back(shared, claims).await;
             }
             // Nothing is tried again blindly: the next look sees what is recorded.
--- a/components/node/src/commands.rs
+++ b/components/node/src/commands.rs
@@ -30,7 +30,7 @@
 pub(crate) async fn execute(shared: &Arc<Shared>, command: Command) -> Outcome {
     let statement = match query::parse_one(&command.statement) {
         Ok(statement) => statement,
-        Err(fault) => return Outcome::not_done(fault.to_string()),
+        Err(error) => return Outcome::not_done(error.to_string()),
     };
     if !statement.is_command() {
         return table_outcome(show::show_all_hosts(shared, &statement, &command.statement).await);
@@ -38,7 +38,7 @@
     wait_for_workload(shared, &statement).await;
     let change = match plan_change(shared, &statement, &command) {
         Ok(change) => change,
-        Err(why) => return refuse(shared, &command, why, None),
+        Err(reason) => return refuse(shared, &command, reason, None),
     };
     let committed = shared.committer.commit(change.clone()).await;
     finish_command(shared, &command, &change, committed).await
@@ -67,14 +67,14 @@
             let rows = Rows { columns: table.columns, rows: table.rows };
             Outcome { table: Some(rows), ..Outcome::done("") }
         }
-        Err(why) => Outcome::not_done(why),
+        Err(reason) => Outcome::not_done(reason),
     }
 }
 
-fn refuse(shared: &Shared, command: &Command, why: String, retry_after: Option<Duration>) -> Outcome {
-    events::emit!(shared.log, events::COMMAND_REFUSED, "command" => command.command.to_string(), "why" => &why);
+fn refuse(shared: &Shared, command: &Command, reason: String, retry_after: Option<Duration>) -> Outcome {
+    events::emit!(shared.log, events::COMMAND_REFUSED, "command" => command.command.to_string(), "why" => &reason);
     let retry_after_ms = retry_after.map(|after| after.as_millis() as u64);
-    Outcome { retry_after_ms, ..Outcome::not_done(why) }
+    Outcome { retry_after_ms, ..Outcome::not_done(reason) }
 }
 
 async fn finish_command(shared: &Arc<Shared>, command: &Command, change: &Change, committed: CommitOutcome) -> Outcome {
@@ -87,13 +87,13 @@
         }
         CommitOutcome::Before(receipt) => receipt_outcome(receipt),
         CommitOutcome::Conflict => {
-            let why = describe_conflict(shared, change).await;
-            refuse(shared, command, why, None)
+            let reason = describe_conflict(shared, change).await;
+            refuse(shared, command, reason, None)
         }
-        CommitOutcome::NotDone(why) => refuse(shared, command, why, Some(RETRY_AFTER)),
-        CommitOutcome::Unknown(why) => {
-            events::emit!(shared.log, events::COMMAND_UNKNOWN, "command" => command.command.to_string(), "why" => &why);
-            Outcome::unknown(format!("{why}; ask again by the command's id"))
+        CommitOutcome::NotDone(reason) => refuse(shared, command, reason, Some(RETRY_AFTER)),
+        CommitOutcome::Unknown(reason) => {
+            events::emit!(shared.log, events::COMMAND_UNKNOWN, "command" => command.command.to_string(), "why" => &reason);
+            Outcome::unknown(format!("{reason}; ask again by the command's id"))
         }
     }
 }
@@ -130,7 +130,7 @@
 pub(crate) async fn outcome(shared: &Arc<Shared>, command: CommandId) -> Outcome {
     match resolve_outcome(shared, command).await {
         CommitOutcome::Before(receipt) => receipt_outcome(receipt),
-        CommitOutcome::NotDone(why) => Outcome::not_done(why),
+        CommitOutcome::NotDone(reason) => Outcome::not_done(reason),
         other => Outcome::unknown(format!("{other:?}")),
     }
 }
@@ -158,7 +158,7 @@
 
 fn submit(shared: &Shared, plan: Option<&str>, command: CommandId) -> Result<Change, String> {
     let plan = plan.ok_or("the plan's text is missing: send the file with the statement")?;
-    let workloads = model::plan::parse(plan).map_err(|fault| fault.to_string())?;
+    let workloads = model::plan::parse(plan).map_err(|error| error.to_string())?;
     let mut change =
         Change { command, message: String::new(), expects: Vec::new(), puts: Vec::new(), deletes: Vec::new() };
     let mut names = Vec::new();
@@ -305,7 +305,7 @@
             };
         }
         "run_time" => {
-            workload.run_time = Some(units::parse_duration(value).map_err(|fault| format!("run_time: {fault}"))?);
+            workload.run_time = Some(units::parse_duration(value).map_err(|error| format!("run_time: {error}"))?);
         }
         other => {
             return Err(format!("no field `{other}` that can be changed; there are instances, priority, run_time"));
@@ -368,7 +368,7 @@
         "processors" => quota.cpu_milli = number()?.saturating_mul(1000),
         "accelerators" => quota.accelerators = number()?,
         "memory" => {
-            let bytes = units::parse_size(value).map_err(|fault| format!("memory: {fault}"))?;
+            let bytes = units::parse_size(value).map_err(|error| format!("memory: {error}"))?;
             quota.memory_mib = u32::try_from(bytes / MIB).unwrap_or(u32::MAX);
         }
         other => {
--- a/components/node/src/commit.rs
+++ b/components/node/src/commit.rs
@@ -149,7 +149,7 @@
         CommitOutcome::Conflict => match read_receipt(shared, change.command).await {
             Ok(Some(receipt)) => CommitOutcome::Before(receipt),
             Ok(None) => CommitOutcome::Conflict,
-            Err(fault) => CommitOutcome::Unknown(fault.to_string()),
+            Err(error) => CommitOutcome::Unknown(error.to_string()),
         },
         CommitOutcome::Unknown(_) => resolve_outcome(shared, change.command).await,
         outcome => outcome,
@@ -159,7 +159,7 @@
 async fn write_changes(shared: &Shared, changes: &[&Change]) -> CommitOutcome {
     let lease = match receipt_lease(shared).await {
         Ok(lease) => lease,
-        Err(fault) => return CommitOutcome::NotDone(fault.to_string()),
+        Err(error) => return CommitOutcome::NotDone(error.to_string()),
     };
     let txn = transaction(&shared.settings.cell, changes, lease);
     let outcome = shared.store.txn(Use::Acceptance, &txn).await;
@@ -167,13 +167,13 @@
     match outcome {
         Ok(outcome) if outcome.succeeded => CommitOutcome::Done(outcome.revision),
         Ok(_) => CommitOutcome::Conflict,
-        Err(Fault::Refused(why)) => {
+        Err(Fault::Refused(reason)) => {
             // The lease may have lapsed: the next change asks for a new one.
             *shared.committer.lease.lock() = None;
-            CommitOutcome::NotDone(why)
+            CommitOutcome::NotDone(reason)
         }
-        Err(fault) if fault.may_have_happened() => CommitOutcome::Unknown(fault.to_string()),
-        Err(fault) => CommitOutcome::NotDone(fault.to_string()),
+        Err(error) if error.may_have_happened() => CommitOutcome::Unknown(error.to_string()),
+        Err(error) => CommitOutcome::NotDone(error.to_string()),
     }
 }
 
@@ -229,7 +229,7 @@
         match write_not_done_receipt(shared, command).await {
             Ok(Some(receipt)) => return CommitOutcome::Before(receipt),
             Ok(None) => return CommitOutcome::NotDone("the platform did not carry it out".to_owned()),
-            Err(fault) => last_error = fault.to_string(),
+            Err(error) => last_error = error.to_string(),
         }
     }
     CommitOutcome::Unknown(last_error)
--- a/components/node/src/configuration.rs
+++ b/components/node/src/configuration.rs
@@ -171,8 +171,8 @@
             Ok(())
         }
     };
-    if let Err(why) = outcome {
-        applied.unreadable.push((key.clone(), why));
+    if let Err(reason) = outcome {
+        applied.unreadable.push((key.clone(), reason));
     }
 }
 
@@ -275,16 +275,16 @@
     true
 }
 
-fn log_failure(shared: &Shared, call: &str, fault: Option<store::Fault>) {
-    let why = fault.map(|fault| fault.to_string()).unwrap_or_default();
-    events::emit!(shared.log, events::PLATFORM_FAILED, "call" => call, "why" => why);
+fn log_failure(shared: &Shared, call: &str, error: Option<store::Fault>) {
+    let reason = error.map(|error| error.to_string()).unwrap_or_default();
+    events::emit!(shared.log, events::PLATFORM_FAILED, "call" => call, "why" => reason);
 }
 
 /// Puts changes in force.
 fn apply_delta(shared: &Arc<Shared>, delta: Delta<EntryKey, Entry>) {
     let Some(applied) = shared.configuration.apply(delta) else { return };
-    for (key, why) in &applied.unreadable {
-        events::emit!(shared.log, events::RECORD_UNREADABLE, "key" => key, "why" => why);
+    for (key, reason) in &applied.unreadable {
+        events::emit!(shared.log, events::RECORD_UNREADABLE, "key" => key, "why" => reason);
     }
     events::emit!(shared.log, events::CONFIGURATION, "revision" => shared.configuration.revision());
     crate::owner::apply_records(shared, &applied.workloads);
--- a/components/node/src/held_workers.rs
+++ b/components/node/src/held_workers.rs
@@ -149,8 +149,8 @@
     let now = Instant::now();
     let report = match outcome {
         Ok(report) => report,
-        Err(fault) => {
-            if let WorkerError::Superseded(refusal) = fault {
+        Err(error) => {
+            if let WorkerError::Superseded(refusal) = error {
                 shared.held_workers.refused_epochs.lock().insert(worker.clone(), refusal.epoch);
             } else {
                 shared.held_workers.retry_at.lock().insert(worker, now + RETRY_DELAY);
@@ -231,11 +231,11 @@
             shared.held_workers.refused_epochs.lock().insert(worker.clone(), refusal.epoch);
             return false;
         }
-        Err(fault) => {
+        Err(error) => {
             let sole = is_sole_holder(shared, worker, batch.epoch, now);
             let mut ledger = held.ledger.lock();
             if ledger.mark_unreachable() {
-                events::emit!(shared.log, events::WORKER_SILENT, "worker" => worker, "why" => fault.to_string());
+                events::emit!(shared.log, events::WORKER_SILENT, "worker" => worker, "why" => error.to_string());
             }
             let ended = ledger.expire_leases(sole, now);
             drop(ledger);
--- a/components/node/src/keys.rs
+++ b/components/node/src/keys.rs
@@ -81,5 +81,5 @@
 }
 
 pub(crate) fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, String> {
-    serde_json::from_slice(bytes).map_err(|fault| fault.to_string())
+    serde_json::from_slice(bytes).map_err(|error| error.to_string())
 }
--- a/components/node/src/membership.rs
+++ b/components/node/src/membership.rs
@@ -294,8 +294,8 @@
         match wire::open::<Digest>(shared.peer_client.key(), &buffer[..length]) {
             Ok(digest) if digest.cell == shared.settings.cell => handle_digest(&shared, &digest),
             Ok(_) => {}
-            Err(fault) => {
-                events::emit!(shared.log, events::MESSAGE_REFUSED, "peer" => peer.to_string(), "why" => fault.to_string());
+            Err(error) => {
+                events::emit!(shared.log, events::MESSAGE_REFUSED, "peer" => peer.to_string(), "why" => error.to_string());
             }
         }
     }
--- a/components/node/src/peers.rs
+++ b/components/node/src/peers.rs
@@ -65,10 +65,10 @@
         // Every request may be repeated: orders carry their attempt, pulls change nothing.
         let mut stream = TcpStream::connect(address).await.map_err(|_| CallError::NotSent)?;
         let _ = stream.set_nodelay(true);
-        let answer = self.send_over(&mut stream, request).await.map_err(|fault| {
-            if fault.kind() == std::io::ErrorKind::InvalidData {
-                let (peer, why) = (address.to_string(), fault.to_string());
-                events::emit!(self.log, events::MESSAGE_REFUSED, "peer" => peer, "why" => why);
+        let answer = self.send_over(&mut stream, request).await.map_err(|error| {
+            if error.kind() == std::io::ErrorKind::InvalidData {
+                let (peer, reason) = (address.to_string(), error.to_string());
+                events::emit!(self.log, events::MESSAGE_REFUSED, "peer" => peer, "why" => reason);
             }
             CallError::Unknown
         })?;
@@ -122,8 +122,8 @@
         let read = tokio::time::timeout(IDLE_TIMEOUT, wire::read::<Request>(&mut stream, &key)).await;
         let request = match read {
             Ok(Ok(Some((request, _)))) => request,
-            Ok(Err(fault)) if fault.kind() == std::io::ErrorKind::InvalidData => {
-                events::emit!(shared.log, events::MESSAGE_REFUSED, "peer" => peer.to_string(), "why" => fault.to_string());
+            Ok(Err(error)) if error.kind() == std::io::ErrorKind::InvalidData => {
+                events::emit!(shared.log, events::MESSAGE_REFUSED, "peer" => peer.to_string(), "why" => error.to_string());
                 return;
             }
             _ => return,
--- a/components/node/src/show.rs
+++ b/components/node/src/show.rs
@@ -43,7 +43,7 @@
 
 /// The rows of this host alone, for a peer that asked.
 pub(crate) fn local_rows(shared: &Shared, text: &str) -> Result<Vec<Vec<String>>, String> {
-    let statement = query::parse_one(text).map_err(|fault| fault.to_string())?;
+    let statement = query::parse_one(text).map_err(|error| error.to_string())?;
     Ok(table(shared, &statement)?.rows)
 }
 
@@ -61,7 +61,7 @@
             };
             query::filter(table, conditions, *limit)
         }
-        Statement::Why { subject } => Ok(why(shared, subject)),
+        Statement::Why { subject } => Ok(explain(shared, subject)),
         _ => Err("not a question".to_owned()),
     }
 }
@@ -86,14 +86,14 @@
         Subject::Workload(name) => (name.clone(), name.clone()),
         Subject::Task(name) => {
             let task: model::task::Name =
-                name.parse().map_err(|fault: model::task::ParseNameError| fault.to_string())?;
+                name.parse().map_err(|error: model::task::ParseNameError| error.to_string())?;
             (name.clone(), task.workload)
         }
         Subject::Worker(name) => {
             let listed =
                 shared.listing.get(name).ok_or_else(|| format!("no worker `{name}` in the platform's list"))?;
-            let why = format!("listed in {}, but held by no entry host that can be reached", listed.data_centre);
-            return Ok(vec![name.clone(), why, String::new()]);
+            let reason = format!("listed in {}, but held by no entry host that can be reached", listed.data_centre);
+            return Ok(vec![name.clone(), reason, String::new()]);
         }
         Subject::Team(name) => (name.clone(), String::new()),
     };
@@ -280,11 +280,11 @@
     table
 }
 
-fn why(shared: &Shared, subject: &Subject) -> Table {
+fn explain(shared: &Shared, subject: &Subject) -> Table {
     let mut table = Table::new(&["what", "why", "what would change it"]);
     let now = Instant::now();
     if let Subject::Worker(name) = subject {
-        table.rows.extend(why_worker(shared, name));
+        table.rows.extend(explain_worker(shared, name));
         return table;
     }
     for number in shared.partitions.numbers() {
@@ -308,10 +308,10 @@
     table
 }
 
-fn why_worker(shared: &Shared, name: &str) -> Option<Vec<String>> {
+fn explain_worker(shared: &Shared, name: &str) -> Option<Vec<String>> {
     let held = shared.held_workers.get(name)?;
     let fact = held.ledger.lock().worker_fact(Instant::now());
-    let (why, remedy) = if fact.lapsed {
+    let (reason, remedy) = if fact.lapsed {
         (
             "does not answer; its leases have lapsed, so its tasks have ended",
             "bring it back, or have the host list drop it",
@@ -333,5 +333,5 @@
     } else {
         ("is live and takes new tasks", "")
     };
-    Some(vec![name.to_owned(), why.to_owned(), remedy.to_owned()])
+    Some(vec![name.to_owned(), reason.to_owned(), remedy.to_owned()])
 }
--- a/components/node/src/start.rs
+++ b/components/node/src/start.rs
@@ -42,14 +42,16 @@
         /// The address.
         address: SocketAddr,
         /// What the system said.
-        why: String,
+        reason: String,
     },
 }
 
 impl std::fmt::Display for StartError {
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            StartError::Listen { field, address, why } => write!(out, "{field}: can't listen on {address}: {why}"),
+            StartError::Listen { field, address, reason } => {
+                write!(out, "{field}: can't listen on {address}: {reason}")
+            }
         }
     }
 }
@@ -72,10 +74,10 @@
     let shared = build_shared(settings, log);
     let operators =
         api::start(shared.settings.listen.operators, Arc::new(OperatorApi::new(shared.clone())), &events::silent())
-            .map_err(|why| StartError::Listen {
+            .map_err(|reason| StartError::Listen {
                 field: "listen.operators",
                 address: shared.settings.listen.operators,
-                why,
+                reason,
             })?;
     let (stop_serving, servers) = serve(&shared, sockets);
     events::emit!(shared.log, events::STARTED, "incarnation" => shared.owner.incarnation);
@@ -94,7 +96,7 @@
 async fn listen(settings: &Settings) -> Result<Sockets, StartError> {
     let addresses = &settings.listen;
     let listen_error = |field: &'static str, address: SocketAddr| {
-        move |why: io::Error| StartError::Listen { field, address, why: why.to_string() }
+        move |reason: io::Error| StartError::Listen { field, address, reason: reason.to_string() }
     };
     Ok(Sockets {
         callers: TcpListener::bind(addresses.callers)
