--- a/components/node/src/answer.rs
+++ b/components/node/src/answer.rs
@@ -1,4 +1,4 @@
-//! What this host answers to the requests of its peers.
+//! Answers requests from peers.
 
 use std::sync::Arc;
 use std::time::Instant;
--- a/components/node/src/claims.rs
+++ b/components/node/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims on partitions: which to take or give up, and their records at the platform.
+//! Claims and releases partitions, and writes the claim records at the platform.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -16,13 +16,13 @@
 use crate::owner::OwnedPartition;
 use crate::shared::Shared;
 
-/// A claim is acted on only with the configuration of its revision in force, which comes within this time.
+/// How long to wait for the configuration of a claim's revision. A partition isn't opened without it.
 const CONFIGURATION_TIMEOUT: Duration = Duration::from_secs(2);
-/// Partitions stay with a live owner for so long after another host should have them, so that hosts that
-/// come and go don't make them move to and fro.
+/// A live owner keeps its partitions until the set of live hosts has been unchanged for this long, so that hosts
+/// that come and go don't make partitions move back and forth.
 const RELEASE_DELAY: Duration = Duration::from_secs(2);
 
-/// What to do about each partition.
+/// Determines the next step for each partition.
 pub(crate) fn next_steps(shared: &Shared) -> Vec<(Partition, Step)> {
     if shared.configuration.revision() == 0 {
         return Vec::new();
@@ -64,14 +64,14 @@
     same_life && matches!(state, Some(HostState::Live | HostState::Leaving))
 }
 
-/// The record names another owner: this host has none of it any more.
+/// Drops the state of a partition that this host no longer owns.
 pub(crate) fn drop_partition(shared: &Shared, number: Partition) {
     if shared.partitions.set(number, None) {
         events::emit!(shared.log, events::PARTITION_RELEASED, "partition" => number);
     }
 }
 
-/// Claims partitions, all in one transaction; when that fails, each on its own.
+/// Claims partitions in one transaction. If a condition of it fails, claims each in a transaction of its own.
 pub(crate) async fn take_partitions(shared: &Arc<Shared>, steps: &[(Partition, Step)]) {
     let mut to_claim: Vec<(Partition, Claim)> = Vec::new();
     for (number, step) in steps {
@@ -98,7 +98,8 @@
     }
 }
 
-/// Writes claims; those that were written are owned from now on.
+/// Writes claims in one transaction and opens the partitions if it succeeds. Returns false if a condition of the
+/// transaction failed.
 async fn write_claims(shared: &Arc<Shared>, claims: &[(Partition, Claim)]) -> bool {
     let txn = claims_txn(shared, claims);
     let outcome = shared.store.txn(Use::Claims, &txn).await;
@@ -116,7 +117,7 @@
             if error.may_have_happened() {
                 read_back(shared, claims).await;
             }
-            // Nothing is tried again blindly: the next look sees what is recorded.
+            // Not retried here: the next tick acts on what the platform has recorded.
             true
         }
     }
@@ -135,7 +136,8 @@
     txn
 }
 
-/// Settles a lost answer: a claim is owned when the record has its change id.
+/// Determines the outcome of a transaction whose answer was lost. A claim took effect if the record has its
+/// change id.
 async fn read_back(shared: &Arc<Shared>, claims: &[(Partition, Claim)]) {
     let prefix = keys::cell_prefix(&shared.settings.cell);
     for (number, claim) in claims {
@@ -148,7 +150,7 @@
     }
 }
 
-/// A claim of this life whose answer never came, seen in the configuration now.
+/// Opens a partition whose claim by this incarnation is in the configuration although its answer never arrived.
 async fn adopt_claim(shared: &Arc<Shared>, number: Partition) {
     let Some((claim, revision)) = shared.configuration.claim(shared.data_centre(), number) else { return };
     if claim.owner.as_ref() == Some(&shared.owner) {
@@ -156,8 +158,9 @@
     }
 }
 
-/// Opens the book of a partition that this host just claimed. With an older configuration it would take
-/// running tasks for strays and finished ones for waiting; then the next look tries again.
+/// Starts tracking the tasks of a partition that this host has claimed. Does nothing if the configuration of the
+/// claim's revision doesn't arrive in time, because with an older one running tasks would look like orphans and
+/// finished tasks would look like waiting ones. The next tick tries again.
 async fn open_partition(shared: &Arc<Shared>, number: Partition, claim: &Claim, revision: Revision) {
     if !shared.configuration.wait_for_revision(revision, CONFIGURATION_TIMEOUT).await {
         return;
@@ -186,12 +189,12 @@
     events::emit!(shared.log, events::PARTITION_OWNED, "partition" => number, "epoch" => claim.epoch);
 }
 
-/// Gives partitions up, so that their next owner need not wait.
+/// Releases partitions, so that their next owner can claim them at once.
 pub(crate) async fn release(shared: &Arc<Shared>, steps: &[(Partition, Step)]) {
     let mut to_release = Vec::new();
     for (number, _) in steps.iter().filter(|(_, step)| *step == Step::Release) {
         let Some((claim, _)) = shared.configuration.claim(shared.data_centre(), *number) else { continue };
-        // The record changes only after this host stopped acting on it.
+        // This host must stop acting as the owner before the record changes.
         drop_partition(shared, *number);
         to_release.push((*number, Claim { owner: None, epoch: claim.epoch, change: Uuid::new_v4() }));
     }
--- a/components/node/src/commands.rs
+++ b/components/node/src/commands.rs
@@ -1,4 +1,4 @@
-//! Carries out operators' statements.
+//! Executes operators' statements.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,15 +18,15 @@
 use crate::shared::Shared;
 use crate::show;
 
-/// An accepted change is in force at this host within this time, or its outcome says so.
+/// How long to wait for a change to be in force at this host. After that its outcome says that it is not.
 const CONFIGURATION_TIMEOUT: Duration = Duration::from_secs(2);
-/// When to come back after a refusal by an outage.
+/// When a client should retry a command that was refused because of an outage.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 const MIB: u64 = 1024 * 1024;
-/// The beginning of 2026, in seconds of Unix time.
+/// Start of 2026 in Unix time, in seconds. Lives of workloads count from here.
 const LIFE_EPOCH: u64 = 1_767_225_600;
 
-/// Carries out one statement.
+/// Executes one statement.
 pub(crate) async fn execute(shared: &Arc<Shared>, command: Command) -> Outcome {
     let statement = match query::parse_one(&command.statement) {
         Ok(statement) => statement,
@@ -44,8 +44,8 @@
     finish_command(shared, &command, &change, committed).await
 }
 
-/// A record that another entry host accepted a moment ago may not have come here yet: before it is said that
-/// there is none, the platform is asked.
+/// Asks the platform about a workload that is unknown here, and waits for its record. Another entry host may have
+/// accepted the workload a moment ago.
 async fn wait_for_workload(shared: &Shared, statement: &Statement) {
     let name = match statement {
         Statement::Cancel { workload, .. } => workload,
@@ -98,13 +98,13 @@
     }
 }
 
-/// What every record that operators write has.
+/// The field that all records written by operators have in common.
 #[derive(Deserialize)]
 struct Written {
     command: CommandId,
 }
 
-/// Which other command came in between.
+/// Describes the command that changed a record first.
 async fn describe_conflict(shared: &Shared, change: &Change) -> String {
     let prefix = keys::cell_prefix(&shared.settings.cell);
     for (record_key, expected) in &change.expects {
@@ -126,7 +126,7 @@
     if receipt.done { Outcome::done(receipt.message) } else { Outcome::not_done(receipt.message) }
 }
 
-/// The outcome of an earlier command. One that was not carried out yet never will be after this.
+/// The outcome of an earlier command. If it has not taken effect, this call prevents it from doing so later.
 pub(crate) async fn outcome(shared: &Arc<Shared>, command: CommandId) -> Outcome {
     match resolve_outcome(shared, command).await {
         CommitOutcome::Before(receipt) => receipt_outcome(receipt),
@@ -135,7 +135,7 @@
     }
 }
 
-/// The writes that carry a command out, or why it can't be.
+/// The writes that execute a command, or the reason why it can't be executed.
 fn plan_change(shared: &Shared, statement: &Statement, command: &Command) -> Result<Change, String> {
     let id = command.command;
     if shared.configuration.revision() == 0 {
@@ -185,8 +185,8 @@
     Ok(())
 }
 
-/// By the clock, so that it exceeds also those whose records were removed: a worker that was away for long may
-/// still bring the ends of their tasks.
+/// The number of the next life of a workload. It is derived from the clock, so that it also exceeds the lives
+/// whose records were removed: a worker that was unreachable for long may still report the ends of their tasks.
 fn next_life(known: u32, now: SystemTime) -> u32 {
     let since_unix_epoch = now.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_secs();
     let by_clock = u32::try_from(since_unix_epoch.saturating_sub(LIFE_EPOCH)).unwrap_or(u32::MAX);
@@ -225,7 +225,7 @@
     let all = &shared.settings.data_centres;
     let mut eligible: Vec<DataCentreId> = all.iter().filter(|data_centre| fits(data_centre)).cloned().collect();
     if eligible.is_empty() {
-        // Without a list nothing is known to be too small: the first look of the owner decides.
+        // Without a host list no data centre can be excluded; the owners of the partitions decide later.
         eligible = all.clone();
     }
     let ranked = rank(&workload.name, eligible.iter().map(String::as_str));
@@ -247,7 +247,8 @@
     Ok(known)
 }
 
-/// A condition that does not hold is refused with what stands there now and which command wrote it.
+/// Checks that a record has the expected revision, if one is given. The error names the command that wrote the
+/// current one.
 fn check_revision(what: &str, known: Revision, wanted: Option<Revision>, by: CommandId) -> Result<(), String> {
     match wanted {
         Some(wanted) if wanted != known => {
@@ -314,7 +315,7 @@
     Ok(())
 }
 
-/// Divides anew over the data centres that have a share already.
+/// Divides the instances among the data centres that already have a share.
 fn redistribute(record: &Record, instances: u32) -> BTreeMap<DataCentreId, u32> {
     let places: Vec<DataCentreId> = record.shares.keys().cloned().collect();
     match places.first() {
@@ -350,7 +351,7 @@
     })
 }
 
-/// A dimension that was never set is unlimited.
+/// The initial quota. Resources that were never set are unlimited.
 const UNLIMITED: Resources = Resources { cpu_milli: u32::MAX, memory_mib: u32::MAX, accelerators: u32::MAX };
 
 fn assign_quota(team: &mut Team, assignment: &Assignment) -> Result<(), String> {
--- a/components/node/src/commit.rs
+++ b/components/node/src/commit.rs
@@ -1,8 +1,8 @@
-//! Makes operators' changes and ends of tasks durable, many in one transaction.
+//! Writes operators' changes and the ends of tasks to the platform, in batched transactions.
 //!
-//! A change is accepted when the platform has it, not before. Each carries the receipt of its command in the
-//! same transaction, so that a lost answer can be settled: either the receipt is there, or a receipt that
-//! says "not done" takes its place and the change can never take effect afterwards.
+//! A change is accepted only once the platform has stored it. The same transaction stores the receipt of its
+//! command, so that the outcome can be determined after a lost answer: either the receipt exists, or a receipt
+//! that says "not done" is written under its key, after which the change can no longer take effect.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,48 +18,48 @@
 use crate::keys::{self, Receipt, RecordKey};
 use crate::shared::Shared;
 
-/// Changes that arrive within this time go into one transaction.
+/// Changes that arrive within this time are written in one transaction.
 const BATCH_WINDOW: Duration = Duration::from_millis(4);
-/// Ends of tasks are written this often.
+/// Time between two writes of ends of tasks.
 const END_WRITE_INTERVAL: Duration = Duration::from_millis(250);
-/// Operations that one transaction may have, by the platform's own limit.
+/// The platform's limit on the operations in one transaction.
 const MAX_OPERATIONS: usize = 120;
-/// Changes that may wait for a transaction.
+/// Changes that may wait for a transaction. Further ones are refused.
 const MAX_QUEUED: usize = 16_384;
-/// Receipts last at least this long.
+/// Receipts are kept for at least this long.
 const RECEIPT_RETENTION: Duration = Duration::from_secs(3600);
-/// Attempts to settle a lost answer, and the pause before each.
+/// Delay before each attempt to determine the outcome of a command whose answer was lost.
 const RESOLVE_DELAYS: [Duration; 4] =
     [Duration::ZERO, Duration::from_millis(200), Duration::from_millis(500), Duration::from_millis(1000)];
 
-/// What became of a change.
+/// The outcome of a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum CommitOutcome {
-    /// Durable, at this revision.
+    /// Stored, at this revision.
     Done(Revision),
-    /// A record was not what the change was made from.
+    /// A record no longer has the revision that the change was based on.
     Conflict,
-    /// The command was carried out before; its receipt.
+    /// The command already has an outcome, given by its receipt.
     Before(Receipt),
-    /// Surely not done, for this reason; worth another try.
+    /// Certainly not done, for this reason. It can be retried.
     NotDone(String),
-    /// Not known.
+    /// The outcome is unknown, for this reason.
     Unknown(String),
 }
 
-/// One operator's command as writes.
+/// The writes that execute an operator's command.
 #[derive(Clone, Debug)]
 pub(crate) struct Change {
     pub(crate) command: CommandId,
     pub(crate) message: String,
-    /// Keys below the cell's prefix with the revisions that they must have.
+    /// The revisions that keys must have; 0 for a key that must not exist.
     pub(crate) expects: Vec<(RecordKey, Revision)>,
     pub(crate) puts: Vec<(RecordKey, Vec<u8>)>,
     pub(crate) deletes: Vec<RecordKey>,
 }
 
 impl Change {
-    /// Operations in the transaction, with the receipt.
+    /// The number of operations in the transaction, including the write of the receipt.
     fn operations(&self) -> usize {
         self.puts.len() + self.deletes.len() + 1
     }
@@ -68,7 +68,7 @@
 type QueuedChange = (Change, oneshot::Sender<CommitOutcome>);
 type UnwrittenEnds = BTreeMap<(Partition, WorkloadId), (Progress, Vec<StopOrder>)>;
 
-/// The queue to the platform.
+/// Changes and ends of tasks that wait to be written to the platform.
 pub(crate) struct Committer {
     sender: mpsc::Sender<QueuedChange>,
     receiver: Mutex<Option<mpsc::Receiver<QueuedChange>>>,
@@ -82,7 +82,7 @@
         Committer { sender, receiver: Mutex::new(Some(receiver)), ends: Mutex::default(), lease: Mutex::new(None) }
     }
 
-    /// Makes a change durable.
+    /// Queues a change and waits until it is written.
     pub(crate) async fn commit(&self, change: Change) -> CommitOutcome {
         let (reply, answer) = oneshot::channel();
         if self.sender.try_send((change, reply)).is_err() {
@@ -91,7 +91,7 @@
         answer.await.unwrap_or_else(|_| CommitOutcome::Unknown("this entry host is stopping".to_owned()))
     }
 
-    /// Takes in ends that must be durable before they are acknowledged.
+    /// Queues ends of tasks, which must be stored before the workers are told to forget them.
     pub(crate) fn queue_ends(
         &self,
         partition: Partition,
@@ -103,7 +103,7 @@
     }
 }
 
-/// Commits until the process ends.
+/// Writes queued changes until the process ends.
 pub(crate) async fn run(shared: Arc<Shared>) {
     tokio::spawn(write_ends(shared.clone()));
     let Some(mut receiver) = shared.committer.receiver.lock().take() else { return };
@@ -116,7 +116,7 @@
             operations += next.0.operations();
             batch.push(next);
         }
-        // The next batch need not wait for the answer to this one.
+        // Spawned so that the next batch doesn't wait for the answer to this one.
         tokio::spawn(commit_batch(shared.clone(), batch));
     }
 }
@@ -132,13 +132,13 @@
             return;
         }
     }
-    // One that fails must not fail the others: each is written, or settled, on its own.
+    // One failing change must not make the others fail, so each is written in a transaction of its own.
     for (change, reply) in batch {
         let _ = reply.send(commit_one(&shared, &change).await);
     }
 }
 
-/// Whether no two changes touch the same key: one transaction may write a key only once.
+/// Whether no two changes concern the same key. One transaction may write a key only once.
 fn have_distinct_keys(batch: &[QueuedChange]) -> bool {
     let mut seen = std::collections::BTreeSet::new();
     batch.iter().flat_map(|(change, _)| &change.expects).all(|(record_key, _)| seen.insert(record_key.key()))
@@ -168,7 +168,7 @@
         Ok(outcome) if outcome.succeeded => CommitOutcome::Done(outcome.revision),
         Ok(_) => CommitOutcome::Conflict,
         Err(Fault::Refused(reason)) => {
-            // The lease may have lapsed: the next change asks for a new one.
+            // The lease may have expired, so the next change requests a new one.
             *shared.committer.lease.lock() = None;
             CommitOutcome::NotDone(reason)
         }
@@ -196,7 +196,8 @@
     txn
 }
 
-/// One lease holds the receipts of an hour; they end with it.
+/// Returns the lease that receipts are attached to. A new one is granted every hour, and receipts expire with
+/// their lease.
 async fn receipt_lease(shared: &Shared) -> Result<Lease, Fault> {
     let now = Instant::now();
     if let Some((lease, since)) = *shared.committer.lease.lock()
@@ -221,7 +222,7 @@
     Ok(keys::decode(&entry.value).ok())
 }
 
-/// Finds out what became of a command, and keeps it from taking effect later when it has not.
+/// Determines the outcome of a command. If it has not taken effect, prevents it from doing so later.
 pub(crate) async fn resolve_outcome(shared: &Shared, command: CommandId) -> CommitOutcome {
     let mut last_error = String::new();
     for pause in RESOLVE_DELAYS {
@@ -235,7 +236,7 @@
     CommitOutcome::Unknown(last_error)
 }
 
-/// Writes a receipt that says "not done", unless there is one. Returns the one that is there.
+/// Writes a receipt that says "not done", unless the command has a receipt already. Returns the existing one.
 async fn write_not_done_receipt(shared: &Shared, command: CommandId) -> Result<Option<Receipt>, Fault> {
     let lease = receipt_lease(shared).await?;
     let key = keys::receipt_key(&shared.settings.cell, command);
@@ -253,7 +254,7 @@
     read_receipt(shared, command).await
 }
 
-/// Writes ends of tasks until the process ends. Each is written until it is durable.
+/// Writes ends of tasks until the process ends. Ends whose write fails are queued again by the partition's owner.
 async fn write_ends(shared: Arc<Shared>) {
     loop {
         tokio::time::sleep(END_WRITE_INTERVAL).await;
@@ -277,7 +278,7 @@
     if batch.len() == 1 {
         return;
     }
-    // A partition that was lost in the meantime must not hold up the others.
+    // One partition that this host lost in the meantime must not block the writes of the others.
     for workload_ends in batch {
         if write_progress(shared, std::slice::from_ref(&workload_ends)).await {
             mark_durable(shared, vec![workload_ends]);
@@ -291,7 +292,7 @@
     }
 }
 
-/// Writes progress on the condition that the partitions are still claimed by this host.
+/// Writes progress, on condition that this host still owns the partitions.
 async fn write_progress(shared: &Shared, batch: &[WorkloadEnds]) -> bool {
     let prefix = keys::cell_prefix(&shared.settings.cell);
     let mut txn = Txn::default();
--- a/components/node/src/configuration.rs
+++ b/components/node/src/configuration.rs
@@ -1,7 +1,8 @@
-//! The configuration in force: every record below the cell's prefix, under one revision that only grows.
+//! The configuration in force at this host: a replica of all records below the cell's prefix, as of one revision
+//! that never decreases.
 //!
-//! One host of each data centre watches the platform; the others pull from their peers what they lack, also
-//! from other data centres, so that a host that can't reach the platform still converges.
+//! One host of each data centre watches the platform. The others pull missing changes from peers, also from those
+//! in other data centres, so that a host that can't reach the platform still converges.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -20,14 +21,14 @@
 use crate::keys::{self, RecordKey, Team};
 use crate::shared::Shared;
 
-/// Pause after a failed call to the platform, doubled each time up to the longest.
+/// Delay after a failed call to the platform. Doubled after each further failure, up to [`MAX_BACKOFF`].
 const MIN_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
-/// Two rounds of pulls keep at least this distance.
+/// Minimum time between two pulls.
 const MIN_PULL_INTERVAL: Duration = Duration::from_millis(50);
-/// A watch that says nothing for so long, not even how far it has come, is opened anew.
+/// A watch that delivers nothing for this long, not even a progress notification, is reopened.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
-/// How often the duty to watch is looked at.
+/// How often a host that doesn't watch checks whether it should.
 const DUTY_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The parsed records.
@@ -50,7 +51,7 @@
 pub(crate) struct Configuration {
     state: Mutex<State>,
     revision: watch::Sender<Revision>,
-    /// Set when a peer has a higher revision.
+    /// Notified when a peer has a higher revision.
     pub(crate) pull_needed: Notify,
 }
 
@@ -59,12 +60,12 @@
         Configuration { state: Mutex::default(), revision: watch::Sender::new(0), pull_needed: Notify::new() }
     }
 
-    /// The revision in force; 0 before the first.
+    /// The revision in force; 0 before the first configuration was read.
     pub(crate) fn revision(&self) -> Revision {
         *self.revision.borrow()
     }
 
-    /// Waits until a revision is in force here; false when it took longer than `patience`.
+    /// Waits until a revision is in force at this host. Returns false after `timeout`.
     pub(crate) async fn wait_for_revision(&self, revision: Revision, timeout: Duration) -> bool {
         let mut revisions = self.revision.subscribe();
         let wait_for_revision = revisions.wait_for(|current| *current >= revision);
@@ -75,8 +76,8 @@
         self.state.lock().board.delta(since)
     }
 
-    /// Takes in changes up to a revision, from the watch or from a peer. Returns the workloads that changed
-    /// and the unreadable keys; a lower revision changes nothing.
+    /// Applies changes from the watch or from a peer. Returns what they affected, or `None` if they were not
+    /// applied because they are not newer than what this host has or leave a gap after it.
     fn apply(&self, delta: Delta<EntryKey, Entry>) -> Option<AppliedChanges> {
         let mut guard = self.state.lock();
         let state = &mut *guard;
@@ -134,7 +135,7 @@
     }
 }
 
-/// What a change touched.
+/// What a set of changes affected.
 #[derive(Default)]
 struct AppliedChanges {
     workloads: Vec<WorkloadId>,
@@ -142,7 +143,7 @@
     unreadable: Vec<(EntryKey, String)>,
 }
 
-/// Reads one key's record anew. One that can't be read leaves the last good one in force.
+/// Parses the record of one key again. If it can't be parsed, the last good record stays in force.
 fn update_record(state: &mut State, key: &EntryKey, applied: &mut AppliedChanges) {
     let Some(record_key) = RecordKey::parse(key) else { return };
     let value = state.board.get(key);
@@ -210,12 +211,14 @@
     }
 }
 
-/// The host that watches for its data centre; a host without any configuration watches too.
+/// Whether this host watches the platform: as the responsible host of its data centre, or because it has no
+/// configuration yet.
 fn should_watch(shared: &Shared) -> bool {
     shared.configuration.revision() == 0 || shared.membership.is_responsible("configuration")
 }
 
-/// Watches until the watch ends or the duty passes on. Tells whether it was opened.
+/// Watches the platform until the watch ends or another host becomes responsible. Returns whether the watch was
+/// opened.
 async fn watch_platform(shared: &Arc<Shared>) -> bool {
     let prefix = keys::cell_prefix(&shared.settings.cell);
     if shared.configuration.revision() == 0 && !read_all(shared, &prefix).await {
@@ -280,7 +283,7 @@
     events::emit!(shared.log, events::PLATFORM_FAILED, "call" => call, "why" => reason);
 }
 
-/// Puts changes in force.
+/// Applies changes and notifies the modules that depend on them.
 fn apply_delta(shared: &Arc<Shared>, delta: Delta<EntryKey, Entry>) {
     let Some(applied) = shared.configuration.apply(delta) else { return };
     for (key, reason) in &applied.unreadable {
@@ -303,7 +306,8 @@
     }
 }
 
-/// Pulls from the peer with the highest revision, a neighbour before others.
+/// Pulls changes from the peer with the highest revision, preferring hosts of this data centre. Tries the next
+/// peer if one doesn't answer.
 async fn pull(shared: &Arc<Shared>) {
     let since = shared.configuration.revision();
     let mut ahead = shared.membership.reachable();
--- a/components/node/src/held_workers.rs
+++ b/components/node/src/held_workers.rs
@@ -1,5 +1,5 @@
-//! The workers that this host holds: taking them over, one loop a worker that renews and commands, and what
-//! owners ask of the ledgers.
+//! The workers that this host holds. Takes workers over, runs a task for each that renews its leases and sends it
+//! commands, and executes the orders of partition owners on the ledgers.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -19,20 +19,20 @@
 
 use crate::shared::Shared;
 
-/// How often it is looked at which workers this host should hold.
+/// How often the workers that this host should hold are determined.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Longest wait for a worker's answer.
+/// Timeout of a call to a worker.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
-/// A worker that could not be taken over is tried again after so long.
+/// Delay before the takeover of a worker is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(800);
-/// Claim epochs heard from the neighbours are good for so long.
+/// How long the claim epochs learned from the neighbours remain valid.
 const EPOCHS_VALIDITY: Duration = Duration::from_secs(1);
-/// Orders for one worker that come within this time go out in one batch.
+/// Orders for a worker that arrive within this time are sent in one batch.
 const BATCH_WINDOW: Duration = Duration::from_millis(1);
-/// Facts of a worker that was lost to another holder are withdrawn after so long at the latest.
+/// Facts of a worker that another host holds now are withdrawn after this time at the latest.
 const MAX_WITHDRAW_DELAY: Duration = Duration::from_secs(3);
 const WITHDRAW_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// A silent worker is looked at this often.
+/// Time between two batches to an unreachable worker.
 const UNREACHABLE_RENEW_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A worker held by this host.
@@ -46,11 +46,11 @@
 #[derive(Default)]
 pub(crate) struct HeldWorkers {
     held: Mutex<HashMap<WorkerId, Arc<HeldWorker>>>,
-    /// Workers being taken over, and those that refused, until when.
+    /// When the takeover of a worker may be retried, for workers whose takeover failed.
     retry_at: Mutex<HashMap<WorkerId, Instant>>,
-    /// Highest epoch by which a worker refused this host.
+    /// The highest epoch with which each worker refused this host.
     refused_epochs: Mutex<HashMap<WorkerId, Epoch>>,
-    /// Highest claim epoch known of each partition.
+    /// The highest known claim epoch of each partition.
     epochs: Mutex<BTreeMap<Partition, Epoch>>,
     epochs_learned_at: Mutex<Option<Instant>>,
 }
@@ -72,7 +72,7 @@
         self.epochs.lock().iter().map(|(partition, epoch)| (*partition, *epoch)).collect()
     }
 
-    /// Raises the known epoch of a partition; returns the highest known.
+    /// Records a claim epoch of a partition. Returns the highest known one.
     pub(crate) fn raise_epoch(&self, partition: Partition, epoch: Epoch) -> Epoch {
         let mut epochs = self.epochs.lock();
         let known = epochs.entry(partition).or_default();
@@ -81,7 +81,7 @@
     }
 }
 
-/// Takes over and holds workers until the process ends.
+/// Takes over workers until the process ends.
 pub(crate) async fn run(shared: Arc<Shared>) {
     loop {
         let workers_to_take_over = workers_to_take_over(&shared);
@@ -99,7 +99,7 @@
     }
 }
 
-/// Workers that this host should hold and does not.
+/// The workers that this host should hold but doesn't.
 fn workers_to_take_over(shared: &Shared) -> Vec<(WorkerId, Listed)> {
     if shared.membership.presence() != Presence::Serving {
         return Vec::new();
@@ -116,8 +116,9 @@
     assigned.filter(|(worker, _)| shared.held_workers.get(worker).is_none()).collect()
 }
 
-/// A new holder must know the newest claims before its first start: an owner that was paused could otherwise
-/// have its orders carried out. Tells whether every live neighbour was heard.
+/// Learns the claim epochs that the neighbours know. A new holder must know them before it starts a task, or it
+/// could execute the orders of an owner that was paused and has been replaced. Returns whether every neighbour
+/// answered.
 async fn learn_epochs(shared: &Arc<Shared>) -> bool {
     let now = Instant::now();
     let fresh = shared.held_workers.epochs_learned_at.lock().is_some_and(|at| now.duration_since(at) < EPOCHS_VALIDITY);
@@ -167,7 +168,7 @@
     tokio::spawn(hold_worker(shared, worker, held));
 }
 
-/// Renews and commands one worker until another host holds it.
+/// Renews the leases of one worker and sends it commands, until another host holds the worker.
 async fn hold_worker(shared: Arc<Shared>, worker: WorkerId, held: Arc<HeldWorker>) {
     let mut sequence = 0;
     loop {
@@ -191,21 +192,21 @@
     }
 }
 
-/// Withdraws a worker's facts, but not before its next holder's are here: callers' requests go on to its
-/// instances in the meantime.
+/// Withdraws a worker's facts, if possible only after those of its next holder have arrived, so that callers'
+/// requests keep reaching its instances in the meantime.
 async fn withdraw(shared: &Arc<Shared>, worker: &WorkerId, epoch: Epoch) {
     let started_at = Instant::now();
     while shared.facts.highest_epoch(worker) <= epoch && started_at.elapsed() < MAX_WITHDRAW_DELAY {
         tokio::time::sleep(WITHDRAW_POLL_INTERVAL).await;
     }
-    // This host may have taken it back by now; then its facts are its own again.
+    // This host may hold the worker again by now. In that case its facts are current.
     if shared.held_workers.get(worker).is_none() {
         shared.facts.withdraw(worker);
         shared.membership.send_now.notify_one();
     }
 }
 
-/// Sends one batch and takes in its report. False when the worker is held by another host.
+/// Sends one batch to a worker and applies its report. Returns false if another host holds the worker.
 async fn send_batch(shared: &Arc<Shared>, worker: &WorkerId, held: &Arc<HeldWorker>, sequence: u64) -> bool {
     let (batch, sent) = {
         let mut ledger = held.ledger.lock();
@@ -268,7 +269,7 @@
     }
 }
 
-/// Whether no other host can have renewed the leases of a silent worker since this one last did.
+/// Whether no other host can have renewed the leases of an unreachable worker since this one last did.
 fn is_sole_holder(shared: &Shared, worker: &WorkerId, epoch: Epoch, now: Instant) -> bool {
     let limits = shared.ledger_limits();
     if shared.listing.missing_for(worker, limits.lease + limits.margin, now) {
@@ -277,7 +278,7 @@
     if shared.facts.highest_epoch(worker) > epoch {
         return false;
     }
-    // A host that can't be heard may hold the worker under a higher epoch, unless the platform dropped it.
+    // An unreachable host may hold the worker with a higher epoch, unless the platform has delisted that host.
     let neighbours = shared.membership.all().into_iter();
     let mut unheard_members = neighbours.filter(|member| {
         member.peer.data_centre == *shared.data_centre()
@@ -291,7 +292,7 @@
     })
 }
 
-/// Publishes a worker's facts, and hands what changed to the owners here.
+/// Publishes a worker's facts, and passes the changes to the partitions that this host owns.
 fn publish_facts(shared: &Arc<Shared>, held: &HeldWorker, now: Instant) {
     let changed = {
         let mut ledger = held.ledger.lock();
@@ -310,7 +311,7 @@
     listed.is_some_and(|listed| listed.leaving) || shared.configuration.is_drained(worker)
 }
 
-/// Takes up anew which held workers are leaving.
+/// Determines again which of the held workers are leaving.
 pub(crate) fn refresh_leaving(shared: &Arc<Shared>) {
     for (worker, held) in shared.held_workers.all() {
         let leaving = is_leaving(shared, &worker, shared.listing.get(&worker).as_ref());
@@ -319,7 +320,7 @@
     }
 }
 
-/// Takes in a claim, and tells what is held of the partition.
+/// Records a claim on a partition. Returns the inventory of the partition's attempts on the workers held here.
 pub(crate) fn announce(shared: &Arc<Shared>, partition: Partition, epoch: Epoch) -> InventoryAnswer {
     let epoch = shared.held_workers.raise_epoch(partition, epoch);
     let mut workers = Vec::new();
@@ -341,7 +342,7 @@
     InventoryAnswer { epoch, version: shared.facts.own_version(), workers, tasks }
 }
 
-/// Commits start orders of a partition's owner. Also returns the version of the facts that shows them.
+/// Commits start orders of a partition's owner. Also returns the version of the facts that includes them.
 pub(crate) fn start(
     shared: &Arc<Shared>,
     partition: Partition,
@@ -375,7 +376,7 @@
     (answers, shared.facts.own_version())
 }
 
-/// Keeps room for a partition's workloads. Answers, for each order, whether all the room is there now.
+/// Reserves resources for a partition's workloads. Returns for each order whether all of them are free now.
 pub(crate) fn reserve(
     shared: &Arc<Shared>,
     partition: Partition,
@@ -398,7 +399,7 @@
     answers
 }
 
-/// Stops attempts of a partition. An owner that was superseded stops nothing.
+/// Stops attempts of a partition. Orders of a superseded owner are ignored.
 pub(crate) fn stop(shared: &Arc<Shared>, partition: Partition, epoch: Epoch, orders: &[StopOrder]) {
     if shared.held_workers.raise_epoch(partition, epoch) > epoch {
         return;
@@ -411,7 +412,7 @@
     }
 }
 
-/// Lets workers forget ends that are durable.
+/// Lets workers forget ends of tasks that are stored at the platform.
 pub(crate) fn acknowledge(shared: &Arc<Shared>, ends: &[StopOrder]) {
     for order in ends {
         let Some(held) = shared.held_workers.get(&order.worker) else { continue };
--- a/components/node/src/keys.rs
+++ b/components/node/src/keys.rs
@@ -1,42 +1,42 @@
-//! Where records stand in the platform's key-value service, and how they are read and written.
+//! Keys and encoding of the records in the platform's key-value service.
 
 use model::{CommandId, DataCentreId, Partition};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// A quota of a team, as it is kept by the platform.
+/// The stored record of a team.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Team {
-    /// Most resources in each data centre; `None` for no limit.
+    /// The most that the team may use in each data centre; `None` means no limit.
     pub(crate) quota: Option<model::Resources>,
     pub(crate) command: CommandId,
 }
 
-/// A worker that operators empty.
+/// The stored record of a worker that an operator is draining.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Drain {
     pub(crate) command: CommandId,
 }
 
-/// What is kept of a command that was settled, so that a lost answer can be asked after.
+/// The stored outcome of a command. Lets a client that lost the answer ask for it again.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Receipt {
-    /// False when the command can never be carried out any more.
+    /// Whether the command was executed. If false, it never will be.
     pub(crate) done: bool,
     pub(crate) message: String,
 }
 
-/// Prefix of the configuration of a cell; everything below it is watched.
+/// Prefix of a cell's configuration. Entry hosts watch all keys below it.
 pub(crate) fn cell_prefix(cell: &str) -> String {
     format!("/walkhook/{cell}/")
 }
 
-/// Key of a command's receipt. Not below the watched prefix: other hosts have no use for it.
+/// Key of a command's receipt. It is outside the watched prefix because other hosts don't need it.
 pub(crate) fn receipt_key(cell: &str, command: CommandId) -> String {
     format!("/walkhook-commands/{cell}/{command}")
 }
 
-/// What a key below the prefix stands for.
+/// A parsed key below the cell's prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum RecordKey {
     Workload(String),
@@ -47,7 +47,7 @@
 }
 
 impl RecordKey {
-    /// The key, below the cell's prefix.
+    /// The key, relative to the cell's prefix.
     pub(crate) fn key(&self) -> String {
         match self {
             RecordKey::Workload(name) => format!("workload/{name}"),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The place of a key; `None` for a key that this version does not know.
+    /// Parses a key that is relative to the cell's prefix; `None` if this version does not know its kind.
     pub(crate) fn parse(key: &str) -> Option<RecordKey> {
         let mut parts = key.split('/');
         let record_key = match (parts.next()?, parts.next()?, parts.next()) {
@@ -76,7 +76,7 @@
 }
 
 pub(crate) fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    // The records have no map keys or numbers that JSON can't carry.
+    // Can't fail: the records contain no map keys or numbers that JSON can't represent.
     serde_json::to_vec(value).unwrap_or_default()
 }
 
--- a/components/node/src/lib.rs
+++ b/components/node/src/lib.rs
@@ -1,12 +1,10 @@
-//! An entry host: all of its parts put together, each a loop with its own state.
+//! Runs an entry host. Each module runs one or more tasks with their own state; [`run`] starts them all and
+//! stops them in order.
 //!
-//! Facts come in by [`membership`], [`configuration`], [`listing`] and [`pull`]; [`owner`] and [`schedule`]
-//! decide about work, [`holds`] carries the decisions out at the workers, [`commit`] makes them durable where
-//! they must last, [`commands`] and [`show`] answer operators, and [`services`] tells the gateway where
-//! callers' requests can go.
-
-// Off until its wording is done.
-#![allow(clippy::missing_errors_doc, clippy::missing_panics_doc)]
+//! [`membership`], [`configuration`], [`listing`] and [`pull`] replicate state from peers and from the platform.
+//! [`owner`] and [`schedule`] make scheduling decisions, which [`held_workers`] sends to the workers. [`commit`]
+//! writes operators' changes and the ends of tasks to the platform. [`commands`] and [`show`] answer operators,
+//! and [`services`] tells the gateway which instances can serve callers' requests.
 
 mod answer;
 mod claims;
--- a/components/node/src/listing.rs
+++ b/components/node/src/listing.rs
@@ -1,5 +1,5 @@
-//! The platform's lagging list of hosts. One host of each data centre reads it; the others have it from that
-//! one.
+//! The platform's list of hosts, which lags behind reality. One host of each data centre reads it from the platform;
+//! the others read it from that host.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -11,18 +11,18 @@
 
 use crate::shared::Shared;
 
-/// Time between two readings.
+/// Time between two reads of the list.
 const READ_INTERVAL: Duration = Duration::from_secs(1);
 
 #[derive(Default)]
 struct State {
     version: u64,
     hosts: BTreeMap<HostId, Listed>,
-    /// When hosts were first missed, by this host's clock.
+    /// When this host first noticed that a host is missing from the list.
     missing_since: HashMap<HostId, Instant>,
 }
 
-/// The list as last read.
+/// The most recently read list.
 #[derive(Default)]
 pub(crate) struct Listing {
     state: Mutex<State>,
@@ -38,7 +38,7 @@
         (state.version, state.hosts.iter().map(|(name, host)| (name.clone(), host.clone())).collect())
     }
 
-    /// Takes in a list; an older one than the known changes nothing. Tells whether it was taken.
+    /// Replaces the list, unless `version` is not newer. Returns whether the list was replaced.
     fn replace(&self, version: u64, hosts: Vec<(HostId, Listed)>, now: Instant) -> bool {
         let mut state = self.state.lock();
         if version <= state.version {
@@ -59,7 +59,7 @@
         self.state.lock().hosts.get(name).cloned()
     }
 
-    /// Workers of a data centre.
+    /// The workers of a data centre.
     pub(crate) fn workers(&self, data_centre: &str) -> Vec<(WorkerId, Listed)> {
         let state = self.state.lock();
         let workers =
@@ -67,20 +67,20 @@
         workers.map(|(name, host)| (name.clone(), host.clone())).collect()
     }
 
-    /// Workers of all data centres.
+    /// The workers of all data centres.
     pub(crate) fn all_workers(&self) -> Vec<(WorkerId, Listed)> {
         let state = self.state.lock();
         let workers = state.hosts.iter().filter(|(_, host)| host.kind == ListedKind::Worker);
         workers.map(|(name, host)| (name.clone(), host.clone())).collect()
     }
 
-    /// Whether a host has been off the list for longer than `time`.
+    /// Whether a host that was on the list has been missing from it for longer than `time`.
     pub(crate) fn missing_for(&self, name: &str, time: Duration, now: Instant) -> bool {
         let state = self.state.lock();
         state.missing_since.get(name).is_some_and(|since| now.saturating_duration_since(*since) > time)
     }
 
-    /// Whether the list was ever read.
+    /// Whether the list has been read at least once.
     pub(crate) fn is_known(&self) -> bool {
         self.version() > 0
     }
--- a/components/node/src/membership.rs
+++ b/components/node/src/membership.rs
@@ -1,4 +1,4 @@
-//! Sends and hears digests over UDP, and keeps the table of entry hosts.
+//! Sends and receives digests over UDP, and maintains the table of entry hosts.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,37 +15,38 @@
 
 use crate::shared::Shared;
 
-/// Hosts of each other data centre that a digest goes to, once in so many digests.
+/// Number of hosts of each other data centre that a digest is sent to.
 const REMOTE_TARGETS: usize = 2;
+/// Only one in this many digests is sent to other data centres.
 const REMOTE_DIGEST_EVERY: u64 = 5;
-/// Silence after which a host of another data centre is taken for dead, against one of the own.
+/// Ratio of the silence after which a remote host is considered dead to that for a host of this data centre.
 const REMOTE_DEAD_FACTOR: u32 = 4;
-/// Hosts are named for newcomers once in so many digests.
+/// One in this many digests lists known hosts, for hosts that have just joined.
 const KNOWN_HOSTS_EVERY: u64 = 16;
-/// Hosts named in a digest for newcomers.
+/// Maximum number of known hosts listed in a digest.
 const MAX_KNOWN_HOSTS: usize = 8;
-/// Digests that go out at once after a change keep at least this distance.
+/// Minimum time between two digests that are sent because of changes.
 const MIN_DIGEST_INTERVAL: Duration = Duration::from_millis(40);
 
-/// All under one lock: there is no order of locks to get wrong.
+/// Kept under one lock, so that no lock order has to be observed.
 struct Hosts {
     table: MemberTable,
-    /// Hosts that others named and that were not heard yet.
+    /// Hosts that peers listed as known but that this host has not heard from.
     named: HashMap<HostId, SocketAddr>,
-    /// The states that were last reported as news.
+    /// The state of each host when changes were last reported.
     reported_states: HashMap<HostId, HostState>,
 }
 
-/// The other entry hosts, as this one sees them.
+/// The other entry hosts, as seen by this one.
 pub(crate) struct Membership {
     own: Peer,
     own_incarnation: Incarnation,
     state: Mutex<Hosts>,
     presence: Mutex<Presence>,
     sequence: AtomicU64,
-    /// Set when a digest should go out before its time.
+    /// Notified when a digest should be sent before the next heartbeat.
     pub(crate) send_now: Notify,
-    /// Set when the live hosts may have changed.
+    /// Notified when the set of live hosts may have changed.
     pub(crate) changed: Notify,
 }
 
@@ -82,14 +83,14 @@
         self.send_now.notify_one();
     }
 
-    /// Live hosts of a data centre, this one too while it serves.
+    /// The live hosts of a data centre, including this one while it serves.
     pub(crate) fn live_in(&self, data_centre: &DataCentreId) -> Vec<HostId> {
         let serving = self.presence() == Presence::Serving;
         self.state.lock().table.live_hosts_in(data_centre, serving, Instant::now())
     }
 
-    /// Hosts of the own data centre that may send requests to instances: also the leaving ones, until they are
-    /// gone, and always this one.
+    /// The hosts of this data centre that may send requests to instances: this one, and all others that are live or
+    /// leaving.
     pub(crate) fn sharing_hosts(&self) -> Vec<HostId> {
         let mut hosts: Vec<HostId> = self.neighbours().into_iter().map(|member| member.peer.host).collect();
         hosts.push(self.own.host.clone());
@@ -97,7 +98,7 @@
         hosts
     }
 
-    /// The live host of the own data centre that is responsible for a key; `None` when there is none.
+    /// The live host of this data centre that is responsible for a key, if any.
     pub(crate) fn responsible(&self, key: &str) -> Option<HostId> {
         let hosts = self.live_in(&self.own.data_centre);
         member::highest_ranked(key, hosts.iter().map(String::as_str)).map(str::to_owned)
@@ -116,35 +117,35 @@
         self.state.lock().table.get(host).cloned()
     }
 
-    /// Other hosts of the own data centre that are live or leaving.
+    /// The other hosts of this data centre that are live or leaving.
     pub(crate) fn neighbours(&self) -> Vec<Member> {
         let mut reachable = self.reachable();
         reachable.retain(|member| member.peer.data_centre == self.own.data_centre);
         reachable
     }
 
-    /// Other hosts that are live or leaving.
+    /// The other hosts of all data centres that are live or leaving.
     pub(crate) fn reachable(&self) -> Vec<Member> {
         self.state.lock().table.reachable(Instant::now()).into_iter().cloned().collect()
     }
 
-    /// All other hosts heard of, dead ones too.
+    /// All other hosts in the table, including dead ones.
     pub(crate) fn all(&self) -> Vec<Member> {
         self.state.lock().table.iter().cloned().collect()
     }
 
-    /// Whether a quorum of the data centre has heard this host lately.
+    /// Whether a quorum of the data centre has heard from this host recently.
     pub(crate) fn has_authority(&self, delisted: impl Fn(&str) -> bool) -> bool {
         self.state.lock().table.has_authority(delisted, Instant::now())
     }
 
-    /// The hosts of the data centre among which responsibility for keys is divided.
+    /// The hosts of the data centre that share the responsibility for keys.
     pub(crate) fn responsible_hosts(&self, delisted: impl Fn(&str) -> bool) -> Vec<HostId> {
         let serving = self.presence() == Presence::Serving;
         self.state.lock().table.responsible_hosts(serving, delisted, Instant::now())
     }
 
-    /// Looks at the clock, so that a pause of this host is noticed before anybody is taken for dead.
+    /// Reads the clock, so that a pause of this host is detected before other hosts are considered dead.
     pub(crate) fn tick(&self) {
         self.state.lock().table.tick(Instant::now());
     }
@@ -154,7 +155,7 @@
         let sequence = self.sequence.fetch_add(1, Ordering::Relaxed) + 1;
         table.record_sent(sequence, now);
         let reachable = table.reachable(now);
-        // While few are known, this host may be a newcomer itself: then it names them each time.
+        // Lists known hosts in each of the first digests after a start, when this host itself knows few others.
         let count = if sequence.is_multiple_of(KNOWN_HOSTS_EVERY) || sequence < KNOWN_HOSTS_EVERY {
             MAX_KNOWN_HOSTS
         } else {
@@ -174,8 +175,9 @@
         }
     }
 
-    /// Where the next digest goes: all neighbours, a few hosts of each other data centre, and, so that hosts
-    /// find each other (again), the seeds, those named by others and one dead host.
+    /// The addresses that the next digest is sent to: all neighbours and a few hosts of each other data centre. So
+    /// that hosts find each other, also after a partition, the digest is sent to the seeds, to hosts that peers have
+    /// listed and to one dead host as well.
     fn targets(&self, seeds: &[SocketAddr], now: Instant) -> Vec<SocketAddr> {
         let Hosts { table, named, .. } = &*self.state.lock();
         let mut remote: HashMap<&DataCentreId, Vec<SocketAddr>> = HashMap::new();
@@ -219,7 +221,7 @@
         changed
     }
 
-    /// Hosts whose state is not what it was at the last call.
+    /// The hosts whose state has changed since the last call.
     fn state_changes(&self, now: Instant) -> Vec<(HostId, HostState)> {
         let Hosts { table, reported_states, .. } = &mut *self.state.lock();
         table.remove_expired(now);
@@ -235,7 +237,7 @@
     }
 }
 
-/// Looks at the clock until the process ends.
+/// Reads the clock at regular intervals until the process ends, to detect pauses of this host.
 pub(crate) async fn detect_pauses(shared: Arc<Shared>) {
     loop {
         shared.membership.tick();
@@ -263,7 +265,7 @@
     let digest = shared.membership.digest(&shared.settings.cell, configuration, facts, now);
     let Ok(bytes) = wire::seal(shared.peer_client.key(), &digest) else { return };
     for target in shared.membership.targets(&shared.settings.seeds, now) {
-        // A lost digest is made up for by the next one.
+        // Errors are ignored because the next digest makes up for a lost one.
         let _ = socket.send_to(&bytes, target).await;
         shared.metrics.control("digest_sent", bytes.len());
     }
@@ -285,7 +287,7 @@
     shared.schedule_needed.notify_one();
 }
 
-/// Hears digests until the process ends.
+/// Receives digests until the process ends.
 pub(crate) async fn receive_digests(shared: Arc<Shared>, socket: Arc<UdpSocket>) {
     let mut buffer = vec![0; wire::MAX_DATAGRAM];
     loop {
@@ -305,7 +307,7 @@
     let changed = shared.membership.receive(digest, Instant::now());
     if changed {
         report_state_changes(shared);
-        // A newcomer hears back at once instead of after a heartbeat.
+        // A host that has just joined gets an answer at once instead of after a heartbeat.
         shared.membership.send_now.notify_one();
     }
     if digest.configuration > shared.configuration.revision() {
--- a/components/node/src/operators.rs
+++ b/components/node/src/operators.rs
@@ -1,4 +1,4 @@
-//! What stands behind the operators' interface.
+//! Implements the operators' API.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
--- a/components/node/src/owner.rs
+++ b/components/node/src/owner.rs
@@ -1,4 +1,4 @@
-//! The partitions of the own data centre: following the tasks of those that are owned here.
+//! The partitions of this data centre. Tracks the tasks of those that this host owns.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -17,30 +17,30 @@
 use crate::shared::Shared;
 use crate::{claims, recovery, send};
 
-/// How often claims and stops are looked at.
+/// Time between two updates of the owned partitions.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// How often attempts are compared with the holders' inventories.
+/// How often tracked attempts are compared with the facts that the workers' holders publish.
 const COMPARE_INTERVAL: Duration = Duration::from_secs(1);
-/// How often all facts are taken in anew: makes up for orders and acknowledgements that were lost.
+/// How often all facts are applied again, to make up for lost orders and acknowledgements.
 const RESYNC_INTERVAL: Duration = Duration::from_secs(3);
 
 /// A partition owned by this host.
 pub(crate) struct OwnedPartition {
     pub(crate) tracker: JobTracker,
     pub(crate) authority: Authority,
-    /// Revision of the record that claims it: the next change compares with it.
+    /// Revision of the claim record. Transactions on behalf of the partition compare the record with it.
     pub(crate) claim_revision: Revision,
-    /// Where each attempt was last told of.
+    /// For each attempt, the version of its holder's facts from which it must be visible.
     pub(crate) visible_from: HashMap<(Id, Attempt), VisibleFrom>,
     pub(crate) compared_at: Instant,
-    /// Lives of workloads that the platform does not have (any more): their attempts may be stopped.
+    /// Lives of workloads that the platform has no record of, so that their attempts may be stopped.
     pub(crate) unrecorded_lives: BTreeSet<(WorkloadId, u32)>,
 }
 
-/// All partitions of the data centre, owned here or not.
+/// All partitions of the data centre, whether owned by this host or not.
 pub(crate) struct Partitions {
     owned: Vec<Mutex<Option<OwnedPartition>>>,
-    /// Since when the live hosts have been what they are.
+    /// The live hosts, and since when the set has been unchanged.
     pub(crate) live_hosts: Mutex<(Vec<HostId>, Instant)>,
 }
 
@@ -53,7 +53,7 @@
         0..self.owned.len() as Partition
     }
 
-    /// Runs `act` on a partition when it is owned here.
+    /// Runs `act` on a partition if this host owns it.
     pub(crate) fn with<R>(&self, number: Partition, act: impl FnOnce(&mut OwnedPartition) -> R) -> Option<R> {
         self.owned.get(usize::from(number))?.lock().as_mut().map(act)
     }
@@ -71,7 +71,7 @@
     }
 }
 
-/// Claims, recovers and follows partitions until the process ends.
+/// Claims, recovers and updates partitions until the process ends.
 pub(crate) async fn run(shared: Arc<Shared>) {
     let mut resynced_at = Instant::now();
     loop {
@@ -90,7 +90,7 @@
     }
 }
 
-/// One look at an owned partition.
+/// Updates an owned partition: sends due orders and queues ends for the platform.
 async fn update_partition(shared: &Arc<Shared>, number: Partition, leaving: &[WorkerId]) {
     if !recovery::check_authority(shared, number).await {
         return;
@@ -119,7 +119,8 @@
     report_events(shared, number);
 }
 
-/// Compares attempts with the inventories of the workers' holders: what is not there has surely ended.
+/// Compares tracked attempts with the facts of the workers' holders. An attempt that is certainly
+/// missing there has ended.
 fn compare_with_inventories(shared: &Shared, number: Partition) {
     let now = Instant::now();
     let limits = shared.ledger_limits();
@@ -151,7 +152,7 @@
     });
 }
 
-/// Empties workers that are on their way out.
+/// Moves tasks off workers that are leaving.
 async fn evacuate(shared: &Arc<Shared>, number: Partition, leaving: &[WorkerId]) {
     if leaving.is_empty() {
         return;
@@ -165,7 +166,7 @@
     send::stops(shared, number, epoch, orders).await;
 }
 
-/// Hands ends that must last to the committer.
+/// Queues the ends of tasks that must be written to the platform.
 fn queue_ends(shared: &Arc<Shared>, number: Partition) {
     let writes = shared.partitions.with(number, |owned| owned.tracker.unpersisted_ends()).unwrap_or_default();
     for (workload, progress, ends) in writes {
@@ -173,7 +174,7 @@
     }
 }
 
-/// Writes events and metrics of what happened.
+/// Logs what happened in a partition and updates the metrics.
 fn report_events(shared: &Shared, number: Partition) {
     let job_events = shared.partitions.with(number, |owned| owned.tracker.take_events()).unwrap_or_default();
     for event in job_events {
@@ -197,7 +198,7 @@
     shared.metrics.start_seconds.get_or_create(&tenant).observe(waited.as_secs_f64());
 }
 
-/// Takes in changed facts.
+/// Applies changed facts to the owned partitions.
 pub(crate) fn observe(shared: &Arc<Shared>, changed: Vec<Change>) {
     let count = shared.settings.tasks.partitions;
     let now = Instant::now();
@@ -224,7 +225,7 @@
     crate::services::notify_changed(shared);
 }
 
-/// Takes in changed records.
+/// Applies changed workload records to the owned partitions.
 pub(crate) fn apply_records(shared: &Arc<Shared>, workloads: &[WorkloadId]) {
     let count = shared.settings.tasks.partitions;
     let now = Instant::now();
@@ -241,7 +242,7 @@
     }
 }
 
-/// Takes in what became of orders.
+/// Records that the holder of a worker has committed a start order.
 pub(crate) fn record_started(
     owned: &mut OwnedPartition,
     task: &Id,
--- a/components/node/src/peers.rs
+++ b/components/node/src/peers.rs
@@ -13,22 +13,22 @@
 
 use crate::shared::Shared;
 
-/// Longest wait for an answer from a peer.
+/// Timeout of a call to a peer.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(800);
-/// A connection without a request for so long is closed by its server.
+/// The server closes a connection on which no request arrives for this long.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Idle connections kept to one peer.
+/// Maximum number of idle connections that are kept open to a peer.
 const MAX_IDLE_PER_PEER: usize = 4;
-/// Connections that peers may have open here.
+/// Maximum number of connections from peers.
 const MAX_CONNECTIONS: usize = 512;
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Why a peer gave no answer.
+/// The reason why a call returned no answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum CallError {
-    /// It surely did not get the request.
+    /// The peer certainly did not receive the request.
     NotSent,
-    /// It may have carried the request out.
+    /// The peer may have executed the request.
     Unknown,
 }
 
@@ -62,7 +62,7 @@
             self.put_idle(address, stream);
             return Ok(answer);
         }
-        // Every request may be repeated: orders carry their attempt, pulls change nothing.
+        // Requests can be repeated safely: orders contain the attempt number, and pulls have no side effects.
         let mut stream = TcpStream::connect(address).await.map_err(|_| CallError::NotSent)?;
         let _ = stream.set_nodelay(true);
         let answer = self.send_over(&mut stream, request).await.map_err(|error| {
@@ -98,7 +98,7 @@
     }
 }
 
-/// Answers peers until the process ends.
+/// Serves requests from peers until the process ends.
 pub(crate) async fn serve(shared: Arc<Shared>, listener: TcpListener) {
     let permits = Arc::new(tokio::sync::Semaphore::new(MAX_CONNECTIONS));
     loop {
--- a/components/node/src/pull.rs
+++ b/components/node/src/pull.rs
@@ -1,4 +1,4 @@
-//! Pulls the neighbours' facts.
+//! Pulls facts from neighbours.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 
 use crate::shared::Shared;
 
-/// Two rounds of pulls keep at least this distance.
+/// Minimum time between two rounds of pulls.
 const MIN_PULL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Pulls facts from neighbours that have newer ones, until the process ends.
--- a/components/node/src/recovery.rs
+++ b/components/node/src/recovery.rs
@@ -1,5 +1,5 @@
-//! What an owner must know before it acts: that its claim still stands, and where the attempts of earlier owners
-//! are.
+//! Checks that an owner performs before it acts: that its claim is still valid, and where the attempts of earlier
+//! owners are.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 use crate::owner::OwnedPartition;
 use crate::shared::Shared;
 
-/// Checks the authority over a partition, and confirms it after a pause.
+/// Checks the authority over a partition. After a pause of this host the claim is confirmed first.
 pub(crate) async fn check_authority(shared: &Arc<Shared>, number: Partition) -> bool {
     let asked_at = Instant::now();
     let Some((valid, epoch)) =
@@ -45,7 +45,7 @@
         .unwrap_or(false)
 }
 
-/// At the platform, or, when that is away, by the word of every live neighbour.
+/// Confirms a claim with the platform or, if it can't be reached, with all neighbours: none may know a higher epoch.
 async fn confirm_claim(shared: &Arc<Shared>, number: Partition, epoch: u64) -> bool {
     let record_key = RecordKey::Claim(shared.data_centre().clone(), number);
     let key = format!("{}{}", keys::cell_prefix(&shared.settings.cell), record_key.key());
@@ -68,8 +68,8 @@
     })
 }
 
-/// Until all workers that an earlier owner may have used are accounted for: tells every holder the claim and
-/// reads its inventory.
+/// Announces the claim on a partition to all holders and reads their inventories. This is repeated until all workers
+/// that an earlier owner may have used are accounted for.
 pub(crate) async fn recover(shared: &Arc<Shared>, number: Partition) {
     let recovering = shared.partitions.with(number, |owned| (!owned.tracker.is_recovered(), owned.tracker.epoch()));
     let Some((true, epoch)) = recovering else { return };
@@ -114,7 +114,7 @@
         let Some(epoch) = epochs.get(&inventoried.fact.worker) else { continue };
         let visible_from = VisibleFrom { epoch: *epoch, version: inventory.version };
         let key = (inventoried.task.clone(), inventoried.attempt);
-        // Two hosts may both tell of a worker that is moving between them: the later hold counts.
+        // Two hosts may both report a worker that is moving between them. The hold with the higher epoch counts.
         if owned.visible_from.get(&key).is_some_and(|known| known.epoch > visible_from.epoch) {
             continue;
         }
@@ -123,7 +123,7 @@
     }
 }
 
-/// A worker that may have tasks nobody told of; `None` when there is none.
+/// Returns a worker that may run tasks that no inventory contains, if there is one.
 fn find_unaccounted_worker(shared: &Shared, inventories: &[InventoryAnswer]) -> Option<WorkerId> {
     if !shared.listing.is_known() {
         return Some("the list of hosts".to_owned());
@@ -143,8 +143,8 @@
     (task.workload.clone(), task.life)
 }
 
-/// Attempts of workloads that are not known here may belong to a record that has not come yet: they are
-/// stopped only when the platform says that there is none.
+/// Determines which attempts of unknown workloads may be stopped. Their record may not have arrived here yet, so an
+/// attempt may be stopped only after the platform has confirmed that there is none.
 pub(crate) async fn confirm_orphans(shared: &Arc<Shared>, number: Partition) {
     let unconfirmed = shared.partitions.with(number, |owned| {
         let lives: BTreeSet<(WorkloadId, u32)> = owned.tracker.orphans().map(|order| life_of(&order.task)).collect();
@@ -160,7 +160,7 @@
     }
 }
 
-/// Whether the platform has a record of this life of a workload, or can't say.
+/// Whether the platform has a record of this life of a workload. Returns true if it can't be reached.
 async fn is_recorded(shared: &Shared, workload: &str, life: u32) -> bool {
     let key = format!("{}{}", keys::cell_prefix(&shared.settings.cell), RecordKey::Workload(workload.to_owned()).key());
     let read = shared.store.get(Use::Claims, &key).await;
--- a/components/node/src/reservations.rs
+++ b/components/node/src/reservations.rs
@@ -1,5 +1,5 @@
-//! Room for work that finds none: kept at workers as it becomes free, and made by stopping patient work where the
-//! work is urgent.
+//! Reservations for work that does not fit: resources on workers are reserved as they become free, and for urgent
+//! work patient tasks are stopped.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -15,23 +15,23 @@
 use crate::send;
 use crate::shared::Shared;
 
-/// Batch work that has waited for so long gets room kept for it as it becomes free.
+/// Work that has waited for this long gets resources reserved for it as they become free.
 const RESERVE_AFTER: Duration = Duration::from_secs(30);
-/// Urgent work that finds no room stops patient work after so long.
+/// Urgent work that has not fitted for this long preempts patient work.
 const PREEMPT_AFTER: Duration = Duration::from_millis(200);
-/// Room for urgent work that has not become free after so long is looked for anew.
+/// A reservation for urgent work whose resources have not become free within this time is made anew.
 const URGENT_RESERVATION_TTL: Duration = Duration::from_secs(20);
-/// The same for other work, which waits for tasks to end by themselves.
+/// The same for other work. It is longer because such work waits for tasks to end by themselves.
 const RESERVATION_TTL: Duration = Duration::from_secs(1200);
-/// Longer runs without a checkpoint count alike; as a power of two of seconds, half a year.
+/// Longer run times without a checkpoint are treated as equal. A base-2 logarithm of seconds; about half a year.
 const MAX_UNSAVED_EXPONENT: u8 = 24;
-/// Bits of a seniority below its priority: the time of acceptance, in milliseconds.
+/// Number of low bits of a seniority that hold the time of acceptance in milliseconds. The priority is above them.
 const SENIORITY_BITS: u32 = 60;
 
-/// Room that is kept for a workload at workers, until it has become free there.
+/// Resources that are reserved for a workload on workers until they have become free there.
 pub(crate) struct Reservation {
     expires_at: Instant,
-    /// Tasks to start on each worker.
+    /// The number of tasks to start on each worker.
     places: BTreeMap<WorkerId, u32>,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// What is kept for workloads, by name.
+/// The reservations of this host, by workload.
 pub(crate) type Reservations = HashMap<WorkloadId, Reservation>;
 
 pub(crate) fn reserve_order(
@@ -53,7 +53,8 @@
     ReserveOrder { worker, workload: work.workload.name.clone(), resources, seniority: seniority(work), victims }
 }
 
-/// Lower is more senior: by priority, then by time of acceptance. The same at every host.
+/// Orders reservations by priority, then by time of acceptance; a lower value is more senior. All hosts compute the
+/// same value.
 fn seniority(work: &PendingWork) -> u64 {
     let tier = match work.workload.priority {
         Priority::Urgent => 0,
@@ -63,7 +64,7 @@
     (tier << SENIORITY_BITS) | (work.accepted_ms & ((1 << SENIORITY_BITS) - 1))
 }
 
-/// Starts tasks on the workers where the kept room has become free, and keeps the rest.
+/// Orders tasks on the workers where the reserved resources have become free. The other reservations remain.
 pub(crate) async fn use_reservation(
     shared: &Arc<Shared>,
     pass: &mut Pass,
@@ -100,7 +101,8 @@
     }
 }
 
-/// For work that found no room: stops patient work for urgent work, and keeps room for what waits long.
+/// Reserves resources for work that does not fit: for urgent work by stopping patient tasks, for other work once it
+/// has waited long enough.
 pub(crate) async fn reserve_or_preempt(
     shared: &Arc<Shared>,
     pass: &Pass,
@@ -143,8 +145,8 @@
     send::reservations(shared, work.partition, work.epoch, reserve_orders.collect()).await;
 }
 
-/// Workers with what could make room there: for urgent work the patient tasks that may be stopped; for work
-/// that only waits long all tasks that will end by themselves.
+/// Workers with the tasks whose end could free enough resources: for urgent work the patient tasks, which may be
+/// stopped; for other work all tasks that will end by themselves.
 fn candidates(pass: &Pass, urgent: bool) -> Vec<Candidate> {
     let mut by_worker: HashMap<&WorkerId, Vec<Victim>> = HashMap::new();
     for (task, attempt, fact) in &pass.tasks {
--- a/components/node/src/schedule.rs
+++ b/components/node/src/schedule.rs
@@ -1,4 +1,5 @@
-//! Lets waiting work start: one pass over all partitions owned here, urgent work first, fair between teams.
+//! Schedules waiting work. Each pass covers all partitions that this host owns, serves urgent work first and is fair
+//! between teams.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -15,14 +16,14 @@
 use crate::shared::Shared;
 use crate::{recovery, send};
 
-/// Waiting work is looked at this often even when nothing changed.
+/// Maximum time between two passes. A pass runs this often even if nothing has changed.
 const MAX_PASS_INTERVAL: Duration = Duration::from_millis(500);
-/// Two passes keep at least this distance.
+/// Minimum time between two passes.
 const MIN_PASS_INTERVAL: Duration = Duration::from_millis(5);
-/// Tasks of one workload ordered in one pass, so that no pass gets long.
+/// Maximum number of tasks of one workload ordered in one pass. Limits the duration of a pass.
 pub(crate) const MAX_ORDERS: usize = 512;
 
-/// Work of one workload that waits, with what the decision needs.
+/// The waiting tasks of one workload, with the data that scheduling needs.
 pub(crate) struct PendingWork {
     pub(crate) partition: Partition,
     pub(crate) epoch: Epoch,
@@ -32,10 +33,10 @@
     pub(crate) accepted_ms: u64,
 }
 
-/// Start orders made in one pass.
+/// Start orders created in one pass.
 pub(crate) type Orders = BTreeMap<(Partition, Epoch), Vec<StartOrder>>;
 
-/// The view that one pass decides on.
+/// The state that the decisions of one pass are based on.
 pub(crate) struct Pass {
     pub(crate) now: Instant,
     pub(crate) table: WorkerTable,
@@ -45,7 +46,7 @@
     refusals: Refusals,
 }
 
-/// Looks at waiting work until the process ends.
+/// Runs scheduling passes until the process ends.
 pub(crate) async fn run(shared: Arc<Shared>) {
     let mut reservations = Reservations::new();
     loop {
@@ -72,7 +73,7 @@
         place_work(shared, &mut pass, reservations, &waiting[at], &mut orders).await;
     }
     for ((partition, epoch), starts) in orders {
-        // Each partition's orders go out on their own: a slow holder must not hold up the next pass.
+        // Spawned so that a slow holder doesn't delay the next pass.
         let shared = shared.clone();
         tokio::spawn(async move { send::starts(&shared, partition, epoch, starts).await });
     }
@@ -134,7 +135,7 @@
         place::order(&waiting_work, &self.usage, &self.total)
     }
 
-    /// How many more tasks of this size the team may have.
+    /// How many of `wanted` further tasks of this size the team's quota allows.
     pub(crate) fn allowance(&self, team: &TeamId, each: &Resources, wanted: usize) -> usize {
         let Some(usage) = self.usage.get(team) else { return wanted };
         let mut sum = usage.used;
@@ -153,14 +154,14 @@
         usage.used = usage.used.checked_add(each).unwrap_or(usage.used);
     }
 
-    /// The refusal of work whose team has used up its quota.
+    /// The result for work whose team has used up its quota.
     fn over_quota(&self, team: &TeamId) -> Choice {
         let quota = self.usage.get(team).and_then(|usage| usage.quota).unwrap_or_default();
         Choice::Waiting(Reason::OverQuota { team: team.clone(), quota })
     }
 }
 
-/// What each team has committed in this data centre, with its quota.
+/// The resources that each team has committed in this data centre, and its quota.
 pub(crate) fn usage(shared: &Shared, tasks: &[(Id, Attempt, TaskFact)]) -> HashMap<TeamId, Usage> {
     let mut teams: HashMap<WorkloadId, Option<TeamId>> = HashMap::new();
     let mut usage: HashMap<TeamId, Usage> = HashMap::new();
@@ -210,7 +211,8 @@
     }
 }
 
-/// Closes workers that failed the workload lately, unless there would be none left. Returns those closed.
+/// Closes workers on which the workload has failed recently, unless that would exclude all of them. Returns the closed
+/// ones, which the caller opens again.
 fn close_avoided_workers(pass: &mut Pass, avoided_workers: &[WorkerId]) -> Vec<usize> {
     if avoided_workers.len() >= pass.table.len() {
         return Vec::new();
@@ -230,7 +232,7 @@
     Demand { each: workload.each, kind: workload.kind, policy: Policy::BestFit }
 }
 
-/// Places tasks one by one; returns why the first that stays behind does.
+/// Places tasks one by one. Returns the reason for the first that can't be placed.
 fn place_tasks(shared: &Shared, pass: &mut Pass, work: &PendingWork, orders: &mut Orders) -> Option<Choice> {
     let workload = &work.workload;
     let positions = &work.pending_job.positions[..work.pending_job.positions.len().min(MAX_ORDERS)];
@@ -278,7 +280,8 @@
     siblings
 }
 
-/// Orders one task and takes its room in this pass's view.
+/// Creates the start order of one task and allocates its resources in the state of this pass. Returns false if the
+/// order can't be created.
 pub(crate) fn order_task(
     shared: &Shared,
     pass: &mut Pass,
@@ -300,8 +303,8 @@
     true
 }
 
-/// Places all tasks of a gang or none. Its room is kept at every holder before the first task is ordered, so
-/// that none starts without the others.
+/// Places all tasks of a gang or none. The resources of all of them are reserved with the holders before the first
+/// task is ordered, so that none starts without the others.
 async fn place_gang(shared: &Arc<Shared>, pass: &mut Pass, work: &PendingWork, orders: &mut Orders) -> Option<Choice> {
     let workload = &work.workload;
     let count = work.pending_job.positions.len();
@@ -332,7 +335,7 @@
     None
 }
 
-/// One reservation for each worker that gets tasks.
+/// Creates one reserve order for each worker that gets tasks.
 fn reserve_orders(pass: &Pass, work: &PendingWork, places: &[usize]) -> Vec<ReserveOrder> {
     let mut sums: BTreeMap<usize, Resources> = BTreeMap::new();
     for at in places {
--- a/components/node/src/send.rs
+++ b/components/node/src/send.rs
@@ -1,4 +1,4 @@
-//! Sends an owner's orders to the holders of the workers, here or at other hosts.
+//! Sends an owner's orders to the hosts that hold the workers, which include this host.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use crate::shared::Shared;
 use crate::{answer, owner};
 
-/// Sorts orders by the holders of their workers; those of workers without a holder are left out.
+/// Groups orders by the holders of their workers. Orders for workers without a holder are returned separately.
 fn group_by_holder<T>(
     shared: &Shared,
     orders: Vec<T>,
@@ -30,7 +30,7 @@
     (by_host, unheld)
 }
 
-/// Asks a host, which may be this one.
+/// Sends a request to a host, or answers it directly if the host is this one.
 async fn call_holder(shared: &Arc<Shared>, host: &HostId, request: Request) -> Result<Answer, CallError> {
     if *host == shared.own.host {
         return Ok(Box::pin(answer::answer(shared, request)).await);
@@ -39,7 +39,7 @@
     shared.peer_client.call(member.peer.peers, &request).await
 }
 
-/// Sends start orders and takes in the answers. An order without an answer stays ordered and is sent again.
+/// Sends start orders and applies the answers. Orders without an answer remain pending and are sent again.
 pub(crate) async fn starts(shared: &Arc<Shared>, partition: Partition, epoch: Epoch, orders: Vec<StartOrder>) {
     let (by_host, _) = group_by_holder(shared, orders, |order| &order.worker);
     let calls = by_host.into_iter().map(|(host, orders)| async move {
@@ -71,7 +71,7 @@
                 }
                 StartAnswer::Full(free) => Reason::NoRoom { nearest: order.worker.clone(), free: *free },
                 StartAnswer::Closed => Reason::NotLookedAt,
-                // The worker is on its way to another holder, which may have this very order: it is sent again.
+                // The worker is moving to another holder, which may have received this order already. It is sent again.
                 StartAnswer::NotHolder | StartAnswer::Superseded(_) => continue,
             };
             refused = true;
@@ -83,7 +83,7 @@
     }
 }
 
-/// Asks holders to keep room. Returns the workers where all of it is there now.
+/// Asks holders to reserve resources. Returns the workers on which all of them are free now.
 pub(crate) async fn reservations(
     shared: &Arc<Shared>,
     partition: Partition,
@@ -103,7 +103,7 @@
     join_all(calls).await.into_iter().flatten().collect()
 }
 
-/// Sends stop orders. Lost ones are sent again at the next look.
+/// Sends stop orders. Lost ones are sent again at the next tick.
 pub(crate) async fn stops(shared: &Arc<Shared>, partition: Partition, epoch: Epoch, orders: Vec<StopOrder>) {
     let (by_host, _) = group_by_holder(shared, orders, |order| &order.worker);
     let calls = by_host.into_iter().map(|(host, orders)| async move {
@@ -112,7 +112,7 @@
     join_all(calls).await;
 }
 
-/// Lets workers forget ends. A lost one is repeated when the end shows in the facts again.
+/// Lets workers forget ends of tasks. A lost acknowledgement is repeated when the end appears in the facts again.
 pub(crate) async fn acknowledgements(shared: &Arc<Shared>, ends: Vec<StopOrder>) {
     let (by_host, _) = group_by_holder(shared, ends, |order| &order.worker);
     let calls = by_host.into_iter().map(|(host, ends)| async move {
--- a/components/node/src/services.rs
+++ b/components/node/src/services.rs
@@ -1,4 +1,4 @@
-//! Tells the gateway where the instances of each service answer, and which hosts share them.
+//! Provides the gateway with the addresses of service instances and the hosts that send requests to them.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,14 +11,14 @@
 
 use crate::shared::Shared;
 
-/// Two refreshes keep at least this distance.
+/// Minimum time between two updates of the gateway.
 const MIN_REFRESH_INTERVAL: Duration = Duration::from_millis(20);
-/// The gateway is told the hosts this often even when nothing changed.
+/// How often the gateway gets the hosts even if no instance has changed.
 const HOST_REFRESH_INTERVAL: Duration = Duration::from_millis(100);
-/// It is told all instances anew after so many looks.
+/// One in this many updates contains the instances even if none has changed.
 const FULL_REFRESH_EVERY: u32 = 20;
 
-/// Notes that instances may have changed.
+/// Requests an update of the gateway, because instances may have changed.
 pub(crate) fn notify_changed(shared: &Shared) {
     shared.services_changed.notify_one();
 }
--- a/components/node/src/shared.rs
+++ b/components/node/src/shared.rs
@@ -1,5 +1,5 @@
-//! What the parts of an entry host share. Each part has its own state under its own lock; locks are taken in
-//! the order partition, ledger, facts, and none is held across an await.
+//! State shared by the modules of an entry host. Each module has its own locks. They are acquired in the order
+//! partition, ledger, facts, and none is held across an await.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -28,12 +28,12 @@
     pub(crate) log: Logger,
     pub(crate) metrics: Metrics,
     pub(crate) own: Peer,
-    /// This host in its present life.
+    /// This host with its present incarnation, as written into claims.
     pub(crate) owner: Owner,
     pub(crate) store: Arc<dyn Store>,
     pub(crate) lister: Arc<dyn Lister>,
     pub(crate) budget: Arc<Budget>,
-    /// Whether the platform answered the last call.
+    /// Whether the last call to the platform was answered.
     pub(crate) platform_reachable: AtomicBool,
     pub(crate) peer_client: PeerClient,
     pub(crate) membership: Membership,
@@ -44,11 +44,11 @@
     pub(crate) partitions: Partitions,
     pub(crate) committer: Committer,
     pub(crate) gateway: Arc<Gateway>,
-    /// Set when something may let waiting work start.
+    /// Notified when waiting work may be able to start.
     pub(crate) schedule_needed: Notify,
-    /// Set when a neighbour has newer facts.
+    /// Notified when a neighbour has newer facts.
     pub(crate) facts_pull_needed: Notify,
-    /// Set when service instances may have changed.
+    /// Notified when service instances may have changed.
     pub(crate) services_changed: Notify,
     pub(crate) stopping: watch::Sender<bool>,
 }
@@ -58,7 +58,7 @@
         &self.own.data_centre
     }
 
-    /// Longest gap between two looks at the clock that is not a pause.
+    /// The longest time between two reads of the clock that is not considered a pause.
     pub(crate) fn max_clock_gap(&self) -> Duration {
         self.settings.membership.dead_after
     }
@@ -83,7 +83,7 @@
     }
 }
 
-/// A number that a later start of the same host exceeds, as long as clocks don't go back.
+/// The incarnation of this process. Higher at each later start of the host, provided that its clock isn't set back.
 pub(crate) fn incarnation() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |since| since.as_nanos() as u64)
 }
--- a/components/node/src/show.rs
+++ b/components/node/src/show.rs
@@ -1,4 +1,4 @@
-//! The tables that operators are shown.
+//! Builds the tables that answer operators' queries.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 
 use crate::shared::Shared;
 
-/// Shows a table with the rows of all hosts that can be reached.
+/// Answers a query with the rows of all reachable hosts.
 pub(crate) async fn show_all_hosts(shared: &Arc<Shared>, statement: &Statement, text: &str) -> Result<Table, String> {
     let mut table = table(shared, statement)?;
     if !needs_all_hosts(statement) {
@@ -41,7 +41,7 @@
     }
 }
 
-/// The rows of this host alone, for a peer that asked.
+/// The rows of this host only, for the query of a peer.
 pub(crate) fn local_rows(shared: &Shared, text: &str) -> Result<Vec<Vec<String>>, String> {
     let statement = query::parse_one(text).map_err(|error| error.to_string())?;
     Ok(table(shared, &statement)?.rows)
@@ -66,7 +66,7 @@
     }
 }
 
-/// What is done once all rows are together.
+/// Applies the steps that need the rows of all hosts.
 fn finish(shared: &Shared, mut table: Table, statement: &Statement) -> Result<Table, String> {
     match statement {
         Statement::Show { limit: Some(limit), .. } => {
@@ -80,7 +80,7 @@
     Ok(table)
 }
 
-/// For what no host that could be reached answers for.
+/// Answers a `why` query for which no reachable host has returned a row.
 fn explain_unowned(shared: &Shared, subject: &Subject) -> Result<Vec<String>, String> {
     let (name, workload) = match subject {
         Subject::Workload(name) => (name.clone(), name.clone()),
--- a/components/node/src/start.rs
+++ b/components/node/src/start.rs
@@ -32,16 +32,16 @@
     usage,
 };
 
-/// Why an entry host could not be started.
+/// The reason why an entry host could not be started.
 #[derive(Debug)]
 pub enum StartError {
-    /// An own address can't be listened on.
+    /// The host can't listen on one of its addresses.
     Listen {
-        /// The field of the settings.
+        /// The field of the settings that holds the address.
         field: &'static str,
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// The error message of the operating system.
         reason: String,
     },
 }
@@ -58,7 +58,7 @@
 
 impl std::error::Error for StartError {}
 
-/// Connections that peers may relay requests over.
+/// Maximum number of connections over which peers relay requests.
 const RELAY_CONNECTIONS: usize = 4096;
 
 struct Sockets {
@@ -68,7 +68,11 @@
     digests: UdpSocket,
 }
 
-/// Runs an entry host until `told` completes and the planned stop has ended.
+/// Runs an entry host until `shutdown` completes and the planned stop has ended.
+///
+/// # Errors
+///
+/// Returns an error if the host can't listen on one of its addresses.
 pub async fn run(settings: Settings, log: Logger, shutdown: impl Future<Output = ()>) -> Result<(), StartError> {
     let sockets = listen(&settings).await?;
     let shared = build_shared(settings, log);
@@ -148,7 +152,8 @@
 
 type Servers = Vec<tokio::task::JoinHandle<()>>;
 
-/// Starts all loops and servers. The callers' and relay servers end after the returned signal.
+/// Starts all background tasks and servers. The servers for callers and for relayed requests stop when the returned
+/// sender is set to true.
 fn serve(shared: &Arc<Shared>, sockets: Sockets) -> (watch::Sender<bool>, Servers) {
     let digests = Arc::new(sockets.digests);
     tokio::spawn(membership::detect_pauses(shared.clone()));
--- a/components/node/src/stop.rs
+++ b/components/node/src/stop.rs
@@ -1,4 +1,4 @@
-//! The planned stop: leave the balancer, hand over workers and partitions, and only then end.
+//! The planned stop: takes the host out of the load balancer, hands over workers and partitions, and then ends.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -8,16 +8,16 @@
 
 use crate::shared::Shared;
 
-/// The balancer and the peers have this long to see that the host is leaving.
+/// How long the load balancer and the peers have to notice that the host is leaving.
 const LEAVING_NOTICE: Duration = Duration::from_millis(1500);
-/// Workers and partitions that nobody took by then are left to the failure detector.
+/// Workers and partitions that no host has taken by then are left to the failure detector.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(6);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Bytes of keys that are sent at once, and what a key counts beside its answer's body.
+/// Maximum size of the keys sent in one request. Each key counts with the body of its answer and [`KEY_OVERHEAD`].
 const MAX_BATCH_BYTES: usize = 1024 * 1024;
 const KEY_OVERHEAD: usize = 512;
 
-/// Hands over all that this host is responsible for, while it still serves.
+/// Hands over the workers and partitions of this host, which continues to serve requests meanwhile.
 pub(crate) async fn leave(shared: &Arc<Shared>) {
     events::emit!(shared.log, events::STOPPING);
     let started_at = Instant::now();
@@ -30,7 +30,7 @@
     tokio::time::sleep(LEAVING_NOTICE.saturating_sub(started_at.elapsed())).await;
 }
 
-/// Whether another host of the data centre can take over. When all leave at once, nobody is waited for.
+/// Whether another host of the data centre can take over. If all hosts leave at once, there is nothing to wait for.
 fn has_successor(shared: &Shared) -> bool {
     !shared.membership.live_in(shared.data_centre()).is_empty()
 }
@@ -39,8 +39,8 @@
     shared.held_workers.len() > 0 || !shared.partitions.owned_here().is_empty()
 }
 
-/// Hands over the keys that this host remembers, once nothing runs here any more. Where that fails, the next
-/// home answers "unknown" for them.
+/// Hands over the idempotency keys that this host remembers. Called once no request runs here any more. If this fails,
+/// the next host responsible for the keys answers "unknown" for them.
 pub(crate) async fn hand_over_keys(shared: &Arc<Shared>) {
     for (host, keys) in shared.gateway.keys_to_hand_over() {
         let Some(member) = shared.membership.get(&host) else { continue };
@@ -56,8 +56,8 @@
     }
 }
 
-/// Splits keys so that each part fits a frame with room to spare; there is always one part, so that a host that
-/// gets nothing is told so.
+/// Splits keys into batches that are well below the maximum size of a frame. Always returns at least one batch, so that
+/// a host that gets no keys is informed as well.
 fn split_into_batches(keys: Vec<Remembered>) -> Vec<Vec<Remembered>> {
     let mut batches = vec![Vec::new()];
     let mut size = 0;
@@ -75,7 +75,7 @@
     batches
 }
 
-/// Says that the host is gone, so that nobody waits for its silence.
+/// Announces that the host is gone, so that peers don't have to detect it by its silence.
 pub(crate) async fn announce_gone(shared: &Arc<Shared>) {
     shared.membership.set_presence(Presence::Gone);
     tokio::time::sleep(POLL_INTERVAL * 2).await;
--- a/components/node/src/sweep.rs
+++ b/components/node/src/sweep.rs
@@ -1,5 +1,5 @@
-//! Removes the records of workloads that have been over for long, so that the configuration does not grow with
-//! every job that ever ran.
+//! Removes the records of workloads that ended long ago, so that the configuration does not grow with every job that
+//! ever ran.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -10,10 +10,10 @@
 use crate::keys::{self, RecordKey};
 use crate::shared::Shared;
 
-/// How often it is looked for such workloads, at the most.
+/// Maximum time between two sweeps.
 const MAX_INTERVAL: Duration = Duration::from_secs(10);
-/// Workloads removed in one transaction: each takes a comparison and a deletion for its record and for the
-/// progress of each data centre.
+/// Maximum number of workloads removed in one transaction. Each takes a comparison and a deletion for its record and
+/// a deletion for the progress of each data centre.
 const MAX_WORKLOADS_PER_TXN: usize = 20;
 
 /// Sweeps until the process ends.
@@ -37,13 +37,14 @@
         let outcome = shared.store.txn(Use::Ends, &txn).await;
         shared.record_platform_result(&outcome);
         if !matches!(outcome, Ok(outcome) if outcome.succeeded) {
-            // A record was changed, or the claim is lost: the next look sees.
+            // A record was changed or the claim was lost; the next sweep retries if this host still owns the partition.
             return;
         }
     }
 }
 
-/// On the condition that the partition is still claimed by this host and no record was changed.
+/// A transaction that removes workloads, on condition that this host still owns the partition and no record was
+/// changed.
 fn removal_txn(
     shared: &Shared,
     number: Partition,
--- a/components/node/src/usage.rs
+++ b/components/node/src/usage.rs
@@ -1,4 +1,4 @@
-//! What this process itself costs: processor time and memory, for the metrics.
+//! Metrics of this process: processor time, memory and calls to the platform.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,11 +8,11 @@
 use crate::shared::Shared;
 
 const INTERVAL: Duration = Duration::from_secs(2);
-/// Clock ticks a second in `/proc`, fixed on Linux.
+/// Clock ticks per second in `/proc`. Constant on Linux.
 const TICKS_PER_SECOND: u64 = 100;
 const PAGE_SIZE: u64 = 4096;
 
-/// Measures until the process ends.
+/// Updates the metrics until the process ends.
 pub(crate) async fn run(shared: Arc<Shared>) {
     let mut previous_counts = [0; Use::ALL.len()];
     loop {
@@ -32,7 +32,8 @@
     }
 }
 
-/// User and system time, fields 14 and 15 of `/proc/self/stat`, counted after the name in brackets.
+/// User and system time: fields 14 and 15 of `/proc/self/stat`. Fields are counted from the end of the command name in
+/// parentheses, which may contain spaces.
 fn cpu_milliseconds() -> Option<u64> {
     let stat = std::fs::read_to_string("/proc/self/stat").ok()?;
     let (_, fields) = stat.rsplit_once(')')?;
