--- a/components/node/src/commands.rs
+++ b/components/node/src/commands.rs
@@ -23,7 +23,7 @@
 /// When a client should retry a command that was refused because of an outage.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 const MIB: u64 = 1024 * 1024;
-/// Start of 2026 in Unix time, in seconds. Lives of workloads count from here.
+/// Start of 2026 in Unix time, in seconds. Numbers of lives that are derived from the clock count seconds since then.
 const LIFE_EPOCH: u64 = 1_767_225_600;
 
 /// Executes one statement.
@@ -93,7 +93,7 @@
         CommitOutcome::NotDone(reason) => refuse(shared, command, reason, Some(RETRY_AFTER)),
         CommitOutcome::Unknown(reason) => {
             events::emit!(shared.log, events::COMMAND_UNKNOWN, "command" => command.command.to_string(), "why" => &reason);
-            Outcome::unknown(format!("{reason}; ask again by the command's id"))
+            Outcome::unknown(format!("{reason}; query the outcome by the command's id"))
         }
     }
 }
@@ -119,7 +119,7 @@
         };
         return format!("{} has revision {}, not {expected}: {by}", record_key.key(), entry.mod_revision);
     }
-    "changed by another command in the meantime; look again".to_owned()
+    "changed by another command in the meantime; read the record again and retry".to_owned()
 }
 
 fn receipt_outcome(receipt: Receipt) -> Outcome {
@@ -173,7 +173,7 @@
 fn submit_one(shared: &Shared, workload: Workload, change: &mut Change) -> Result<(), String> {
     let known = shared.configuration.workload(&workload.name);
     if known.as_ref().is_some_and(|known| !is_over(shared, known)) {
-        return Err(format!("workload {} exists and is not over; change or cancel it", workload.name));
+        return Err(format!("workload {} exists and has not ended; change or cancel it", workload.name));
     }
     let life = next_life(known.as_ref().map_or(0, |known| known.record.life), SystemTime::now());
     let shares = shares(shared, &workload)?;
@@ -272,18 +272,18 @@
 fn change_workload(
     shared: &Shared,
     name: &str,
-    set: &[Assignment],
+    assignments: &[Assignment],
     revision: Option<Revision>,
     command: CommandId,
 ) -> Result<Change, String> {
     let known = known_workload(shared, name, revision)?;
     let mut record = known.record.clone();
     record.command = command;
-    for assignment in set {
+    for assignment in assignments {
         assign(&mut record.workload, assignment)?;
     }
     record.shares = redistribute(&known.record, record.workload.instances);
-    let fields: Vec<&str> = set.iter().map(|assignment| assignment.field.as_str()).collect();
+    let fields: Vec<&str> = assignments.iter().map(|assignment| assignment.field.as_str()).collect();
     Ok(workload_change(&known, record, format!("changed {} of {name}", fields.join(", ")), command))
 }
 
@@ -309,7 +309,9 @@
             workload.run_time = Some(units::parse_duration(value).map_err(|error| format!("run_time: {error}"))?);
         }
         other => {
-            return Err(format!("no field `{other}` that can be changed; there are instances, priority, run_time"));
+            return Err(format!(
+                "field `{other}` can't be changed; fields that can be are instances, priority, run_time"
+            ));
         }
     }
     Ok(())
@@ -327,25 +329,25 @@
 fn change_team(
     shared: &Shared,
     name: &str,
-    set: &[Assignment],
+    assignments: &[Assignment],
     revision: Option<Revision>,
     command: CommandId,
 ) -> Result<Change, String> {
     if !model::plan::is_valid_name(name) {
-        return Err(format!("`{name}` can't name a team: use up to 64 letters, digits, - and _"));
+        return Err(format!("`{name}` is not a valid team name: use up to 64 letters, digits, - and _"));
     }
     let known = shared.configuration.team(name);
-    let (mut team, at) = known.unwrap_or_default();
-    check_revision(&format!("team {name}"), at, revision, team.command)?;
+    let (mut team, known_revision) = known.unwrap_or_default();
+    check_revision(&format!("team {name}"), known_revision, revision, team.command)?;
     team.command = command;
-    for assignment in set {
+    for assignment in assignments {
         assign_quota(&mut team, assignment)?;
     }
     let record_key = RecordKey::Team(name.to_owned());
     Ok(Change {
         command,
         message: format!("changed the quota of team {name}"),
-        expects: vec![(record_key.clone(), at)],
+        expects: vec![(record_key.clone(), known_revision)],
         puts: vec![(record_key, keys::encode(&team))],
         deletes: Vec::new(),
     })
@@ -373,7 +375,9 @@
             quota.memory_mib = u32::try_from(bytes / MIB).unwrap_or(u32::MAX);
         }
         other => {
-            return Err(format!("no field `{other}` of a team; there are processors, memory, accelerators, quota"));
+            return Err(format!(
+                "a team has no field `{other}`; its fields are processors, memory, accelerators, quota"
+            ));
         }
     }
     Ok(())
--- a/components/node/src/commit.rs
+++ b/components/node/src/commit.rs
@@ -86,7 +86,7 @@
     pub(crate) async fn commit(&self, change: Change) -> CommitOutcome {
         let (reply, answer) = oneshot::channel();
         if self.sender.try_send((change, reply)).is_err() {
-            return CommitOutcome::NotDone("too many commands wait already".to_owned());
+            return CommitOutcome::NotDone("too many commands are waiting already".to_owned());
         }
         answer.await.unwrap_or_else(|_| CommitOutcome::Unknown("this entry host is stopping".to_owned()))
     }
@@ -229,7 +229,7 @@
         tokio::time::sleep(pause).await;
         match write_not_done_receipt(shared, command).await {
             Ok(Some(receipt)) => return CommitOutcome::Before(receipt),
-            Ok(None) => return CommitOutcome::NotDone("the platform did not carry it out".to_owned()),
+            Ok(None) => return CommitOutcome::NotDone("the platform did not execute the command".to_owned()),
             Err(error) => last_error = error.to_string(),
         }
     }
@@ -240,7 +240,10 @@
 async fn write_not_done_receipt(shared: &Shared, command: CommandId) -> Result<Option<Receipt>, Fault> {
     let lease = receipt_lease(shared).await?;
     let key = keys::receipt_key(&shared.settings.cell, command);
-    let receipt = Receipt { done: false, message: "not done: its answer was lost before it took effect".to_owned() };
+    let receipt = Receipt {
+        done: false,
+        message: "not done: the platform's answer was lost, and the command had not taken effect".to_owned(),
+    };
     let txn = Txn {
         compares: vec![Compare { key: key.clone(), mod_revision: 0 }],
         puts: vec![Put { key, value: keys::encode(&receipt), lease }],
--- a/components/node/src/configuration.rs
+++ b/components/node/src/configuration.rs
@@ -29,7 +29,7 @@
 /// A watch that delivers nothing for this long, not even a progress notification, is reopened.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
 /// How often a host that doesn't watch checks whether it should.
-const DUTY_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+const WATCH_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The parsed records.
 #[derive(Default)]
@@ -200,14 +200,14 @@
     let mut backoff = MIN_BACKOFF;
     loop {
         if !should_watch(&shared) {
-            tokio::time::sleep(DUTY_CHECK_INTERVAL).await;
+            tokio::time::sleep(WATCH_CHECK_INTERVAL).await;
             continue;
         }
         let opened = watch_platform(&shared).await;
         backoff = if opened { MIN_BACKOFF } else { (backoff * 2).min(MAX_BACKOFF) };
-        // Spread, so that the watchers of all data centres don't return at once after an outage.
-        let spread = rand::rng().random_range(0.5..1.5);
-        tokio::time::sleep(backoff.mul_f64(spread)).await;
+        // Randomized, so that the watchers of all data centres don't reconnect at the same time after an outage.
+        let jitter = rand::rng().random_range(0.5..1.5);
+        tokio::time::sleep(backoff.mul_f64(jitter)).await;
     }
 }
 
@@ -310,13 +310,13 @@
 /// peer if one doesn't answer.
 async fn pull(shared: &Arc<Shared>) {
     let since = shared.configuration.revision();
-    let mut ahead = shared.membership.reachable();
-    ahead.retain(|member| member.configuration > since);
-    ahead.sort_by_key(|member| {
+    let mut newer_peers = shared.membership.reachable();
+    newer_peers.retain(|member| member.configuration > since);
+    newer_peers.sort_by_key(|member| {
         let remote = member.peer.data_centre != *shared.data_centre();
         (std::cmp::Reverse(member.configuration), remote)
     });
-    for member in ahead {
+    for member in newer_peers {
         let answer = shared.peer_client.call(member.peer.peers, &Request::Configuration { since }).await;
         if let Ok(Answer::Configuration(delta)) = answer {
             apply_delta(shared, delta);
--- a/components/node/src/held_workers.rs
+++ b/components/node/src/held_workers.rs
@@ -110,8 +110,8 @@
     retry_at.retain(|_, until| *until > now);
     let workers = shared.listing.workers(shared.data_centre());
     let assigned = workers.into_iter().filter(|(worker, _)| {
-        let winner = member::highest_ranked(worker, hosts.iter().map(String::as_str));
-        winner == Some(shared.own.host.as_str()) && !retry_at.contains_key(worker)
+        let assigned_host = member::highest_ranked(worker, hosts.iter().map(String::as_str));
+        assigned_host == Some(shared.own.host.as_str()) && !retry_at.contains_key(worker)
     });
     assigned.filter(|(worker, _)| shared.held_workers.get(worker).is_none()).collect()
 }
@@ -135,11 +135,11 @@
     for (partition, epoch) in answers.iter().flatten().flatten() {
         shared.held_workers.raise_epoch(*partition, *epoch);
     }
-    let all = answers.iter().all(Option::is_some);
-    if all {
+    let all_answered = answers.iter().all(Option::is_some);
+    if all_answered {
         *shared.held_workers.epochs_learned_at.lock() = Some(now);
     }
-    all
+    all_answered
 }
 
 async fn take_over(shared: Arc<Shared>, worker: WorkerId, listed: Listed) {
@@ -172,15 +172,16 @@
 async fn hold_worker(shared: Arc<Shared>, worker: WorkerId, held: Arc<HeldWorker>) {
     let mut sequence = 0;
     loop {
-        let (renew, urgent) = {
+        let (interval, urgent) = {
             let ledger = held.ledger.lock();
-            let renew = if ledger.reachable() { shared.settings.tasks.renew_every } else { UNREACHABLE_RENEW_INTERVAL };
-            (renew, ledger.reachable() && ledger.has_urgent_commands(Instant::now()))
+            let interval =
+                if ledger.reachable() { shared.settings.tasks.renew_every } else { UNREACHABLE_RENEW_INTERVAL };
+            (interval, ledger.reachable() && ledger.has_urgent_commands(Instant::now()))
         };
         if urgent {
             tokio::time::sleep(BATCH_WINDOW).await;
         } else {
-            let _ = tokio::time::timeout(renew, held.wake.notified()).await;
+            let _ = tokio::time::timeout(interval, held.wake.notified()).await;
         }
         sequence += 1;
         if !send_batch(&shared, &worker, &held, sequence).await {
@@ -263,9 +264,9 @@
 }
 
 fn log_ends(shared: &Shared, ended: &[EndedAttempt]) {
-    for one in ended {
-        let (task, attempt) = (one.task.to_string(), one.attempt.to_string());
-        events::emit!(shared.log, events::TASK_ENDED, "task" => task, "attempt" => attempt, "how" => format!("{:?}", one.end));
+    for end in ended {
+        let (task, attempt) = (end.task.to_string(), end.attempt.to_string());
+        events::emit!(shared.log, events::TASK_ENDED, "task" => task, "attempt" => attempt, "how" => format!("{:?}", end.end));
     }
 }
 
@@ -422,8 +423,8 @@
 }
 
 fn wake(shared: &Arc<Shared>, held: impl IntoIterator<Item = Arc<HeldWorker>>, now: Instant) {
-    for one in held {
-        publish_facts(shared, &one, now);
-        one.wake.notify_one();
+    for worker in held {
+        publish_facts(shared, &worker, now);
+        worker.wake.notify_one();
     }
 }
--- a/components/node/src/reservations.rs
+++ b/components/node/src/reservations.rs
@@ -82,10 +82,10 @@
     let allowed = pass.allowance(&work.workload.team, each, work.pending_job.positions.len());
     let mut positions = work.pending_job.positions[..allowed].iter();
     for worker in ready {
-        let Some(at) = pass.table.find(&worker) else { continue };
+        let Some(index) = pass.table.find(&worker) else { continue };
         let count = reservation.places.remove(&worker).unwrap_or(0);
         for position in positions.by_ref().take(count as usize) {
-            order_task(shared, pass, work, *position, at, orders);
+            order_task(shared, pass, work, *position, index, orders);
         }
     }
     if reservation.places.is_empty() {
@@ -159,11 +159,11 @@
         }
     }
     (0..pass.table.len())
-        .filter(|at| pass.table.is_open(*at))
-        .map(|at| {
-            let worker = pass.table.id(at).clone();
+        .filter(|index| pass.table.is_open(*index))
+        .map(|index| {
+            let worker = pass.table.id(index).clone();
             let patient = by_worker.remove(&worker).unwrap_or_default();
-            Candidate { worker, free: pass.table.free(at), patient }
+            Candidate { worker, free: pass.table.free(index), patient }
         })
         .collect()
 }
--- a/components/node/src/schedule.rs
+++ b/components/node/src/schedule.rs
@@ -69,8 +69,8 @@
     }
     let mut pass = Pass::new(shared, now);
     let mut orders = Orders::default();
-    for at in pass.order(&waiting) {
-        place_work(shared, &mut pass, reservations, &waiting[at], &mut orders).await;
+    for index in pass.order(&waiting) {
+        place_work(shared, &mut pass, reservations, &waiting[index], &mut orders).await;
     }
     for ((partition, epoch), starts) in orders {
         // Spawned so that a slow holder doesn't delay the next pass.
@@ -197,8 +197,8 @@
         Kind::Gang => place_gang(shared, pass, work, orders).await,
         Kind::Service | Kind::Batch => place_tasks(shared, pass, work, orders),
     };
-    for at in closed {
-        pass.table.set_open(at, true);
+    for index in closed {
+        pass.table.set_open(index, true);
     }
     let Some(choice) = unplaced else { return };
     let reason = match &choice {
@@ -219,10 +219,10 @@
     }
     let mut closed = Vec::new();
     for worker in avoided_workers {
-        let Some(at) = pass.table.find(worker) else { continue };
-        if pass.table.is_open(at) {
-            pass.table.set_open(at, false);
-            closed.push(at);
+        let Some(index) = pass.table.find(worker) else { continue };
+        if pass.table.is_open(index) {
+            pass.table.set_open(index, false);
+            closed.push(index);
         }
     }
     closed
@@ -245,17 +245,17 @@
         {
             return Some(choice.clone());
         }
-        let began = Instant::now();
+        let started_at = Instant::now();
         let choice = place::choose(&pass.table, &demand, &siblings);
-        shared.metrics.decision_seconds.observe(began.elapsed().as_secs_f64());
-        let Choice::Placed(at) = choice else {
+        shared.metrics.decision_seconds.observe(started_at.elapsed().as_secs_f64());
+        let Choice::Placed(index) = choice else {
             pass.refusals.record(workload.each, &choice, work.avoided_workers.is_empty());
             return Some(choice);
         };
-        if !order_task(shared, pass, work, *position, at, orders) {
+        if !order_task(shared, pass, work, *position, index, orders) {
             return None;
         }
-        siblings.add(&pass.table, at);
+        siblings.add(&pass.table, index);
     }
     if allowed < positions.len() {
         return Some(pass.over_quota(&workload.team));
@@ -272,9 +272,9 @@
         let is_live = !matches!(fact.state, TaskState::Ended(_) | TaskState::Stopping);
         if task.workload == workload.name
             && is_live
-            && let Some(at) = pass.table.find(&fact.worker)
+            && let Some(index) = pass.table.find(&fact.worker)
         {
-            siblings.add(&pass.table, at);
+            siblings.add(&pass.table, index);
         }
     }
     siblings
@@ -287,17 +287,17 @@
     pass: &mut Pass,
     work: &PendingWork,
     position: u32,
-    at: usize,
+    index: usize,
     orders: &mut Orders,
 ) -> bool {
-    let worker = pass.table.id(at).clone();
+    let worker = pass.table.id(index).clone();
     let now = Instant::now();
     let order = shared.partitions.with(work.partition, |owned| {
         let current = owned.tracker.epoch() == work.epoch && owned.authority.check(now);
         current.then(|| owned.tracker.create_start_order(&work.workload.name, position, &worker, now)).flatten()
     });
     let Some(order) = order.flatten() else { return false };
-    pass.table.allocate(at, &work.workload.each);
+    pass.table.allocate(index, &work.workload.each);
     pass.spend(&work.workload.team, &work.workload.each);
     orders.entry((work.partition, work.epoch)).or_default().push(order);
     true
@@ -311,15 +311,15 @@
     if pass.allowance(&workload.team, &workload.each, count) < count {
         return Some(pass.over_quota(&workload.team));
     }
-    let began = Instant::now();
+    let started_at = Instant::now();
     let placed = place::choose_gang(&mut pass.table, &demand(workload), count as u32);
-    shared.metrics.decision_seconds.observe(began.elapsed().as_secs_f64());
+    shared.metrics.decision_seconds.observe(started_at.elapsed().as_secs_f64());
     let places = match placed {
         Ok(places) => places,
         Err(choice) => return Some(choice),
     };
-    for at in &places {
-        pass.table.release(*at, &workload.each);
+    for index in &places {
+        pass.table.release(*index, &workload.each);
     }
     let reserve_orders = reserve_orders(pass, work, &places);
     let requested = reserve_orders.len();
@@ -327,8 +327,8 @@
     if ready.len() < requested {
         return Some(Choice::Waiting(Reason::GangIncomplete { fitting: 0, needed: count as u32 }));
     }
-    for (position, at) in work.pending_job.positions.iter().zip(places) {
-        if !order_task(shared, pass, work, *position, at, orders) {
+    for (position, index) in work.pending_job.positions.iter().zip(places) {
+        if !order_task(shared, pass, work, *position, index, orders) {
             return None;
         }
     }
@@ -338,10 +338,10 @@
 /// Creates one reserve order for each worker that gets tasks.
 fn reserve_orders(pass: &Pass, work: &PendingWork, places: &[usize]) -> Vec<ReserveOrder> {
     let mut sums: BTreeMap<usize, Resources> = BTreeMap::new();
-    for at in places {
-        let sum = sums.entry(*at).or_default();
+    for index in places {
+        let sum = sums.entry(*index).or_default();
         *sum = sum.checked_add(&work.workload.each).unwrap_or(*sum);
     }
-    let order = |(at, resources)| reserve_order(work, pass.table.id(at).clone(), resources, Vec::new());
+    let order = |(index, resources)| reserve_order(work, pass.table.id(index).clone(), resources, Vec::new());
     sums.into_iter().map(order).collect()
 }
--- a/components/node/src/show.rs
+++ b/components/node/src/show.rs
@@ -62,7 +62,7 @@
             query::filter(table, conditions, *limit)
         }
         Statement::Why { subject } => Ok(explain(shared, subject)),
-        _ => Err("not a question".to_owned()),
+        _ => Err("not a query".to_owned()),
     }
 }
 
@@ -92,7 +92,7 @@
         Subject::Worker(name) => {
             let listed =
                 shared.listing.get(name).ok_or_else(|| format!("no worker `{name}` in the platform's list"))?;
-            let reason = format!("listed in {}, but held by no entry host that can be reached", listed.data_centre);
+            let reason = format!("listed in {}, but not held by any reachable entry host", listed.data_centre);
             return Ok(vec![name.clone(), reason, String::new()]);
         }
         Subject::Team(name) => (name.clone(), String::new()),
@@ -239,17 +239,17 @@
 fn hosts(shared: &Shared) -> Table {
     let mut table = Table::new(&["host", "data_centre", "state", "peers", "revision", "seen_from"]);
     let own = &shared.own;
-    let mut add = |host: &str, data_centre: &str, state: String, peers: String, revision: u64| {
+    let mut add_row = |host: &str, data_centre: &str, state: String, peers: String, revision: u64| {
         let row = [host, data_centre, &state, &peers, &revision.to_string(), &own.host];
         table.rows.push(row.map(str::to_owned).to_vec());
     };
     let presence = format!("{:?}", shared.membership.presence()).to_lowercase();
-    add(&own.host, &own.data_centre, presence, own.peers.to_string(), shared.configuration.revision());
+    add_row(&own.host, &own.data_centre, presence, own.peers.to_string(), shared.configuration.revision());
     for member in shared.membership.all() {
         let state = shared.membership.state(&member.peer.host).unwrap_or(HostState::Dead);
         let state = format!("{state:?}").to_lowercase();
         let peer = &member.peer;
-        add(&peer.host, &peer.data_centre, state, peer.peers.to_string(), member.configuration);
+        add_row(&peer.host, &peer.data_centre, state, peer.peers.to_string(), member.configuration);
     }
     table.rows.sort();
     table
@@ -313,25 +313,25 @@
     let fact = held.ledger.lock().worker_fact(Instant::now());
     let (reason, remedy) = if fact.lapsed {
         (
-            "does not answer; its leases have lapsed, so its tasks have ended",
-            "bring it back, or have the host list drop it",
+            "does not answer; its leases have expired, so its tasks have ended",
+            "bring it back, or remove it from the platform's host list",
         )
     } else if !fact.reachable {
         (
-            "does not answer; its tasks may still run until their leases lapse",
-            "bring it back, or have the host list drop it",
+            "does not answer; its tasks may still run until their leases expire",
+            "bring it back, or remove it from the platform's host list",
         )
     } else if fact.leaving {
-        ("is on its way out and gets nothing new", "restore it, or wait until it is empty")
+        ("is leaving and gets no new tasks", "restore it, or wait until it is empty")
     } else if fact.probation {
         (
             "failed tasks of several workloads and gets one trial task at a time",
-            "mend it; a trial that succeeds ends this",
+            "repair it; one successful trial task ends the probation",
         )
     } else if !fact.open {
-        ("takes nothing new now", "")
+        ("accepts no new tasks now", "")
     } else {
-        ("is live and takes new tasks", "")
+        ("is live and accepts new tasks", "")
     };
     Some(vec![name.to_owned(), reason.to_owned(), remedy.to_owned()])
 }
