--- a/components/entry/src/reign.rs
+++ b/components/entry/src/reign.rs
@@ -82,7 +82,7 @@
     pub(crate) restore: AtomicBool,
     /// Since when a transaction has been without an outcome.
     pub(crate) unsettled: Mutex<Option<Duration>>,
-    /// Milliseconds between the renewals of busy workers, at least; see [`Engine::busy_pause`].
+    /// Milliseconds between the renewals of busy workers, at least; see [`Engine::busy_renewal_interval`].
     busy_pause: AtomicU64,
     /// Whether the leader before is known to give no leases any more.
     predecessor_ended: AtomicBool,
--- a/components/sched/src/advice.rs
+++ b/components/sched/src/advice.rs
@@ -49,14 +49,14 @@
 
 impl Shares {
     pub(crate) fn get(&self, queue: &str) -> f64 {
-        let (named, good) = self.0.get(queue).copied().unwrap_or_default();
-        (PRIOR_SHARE * PRIOR_WEIGHT + good) / (PRIOR_WEIGHT + named)
+        let (named, allowed) = self.0.get(queue).copied().unwrap_or_default();
+        (PRIOR_SHARE * PRIOR_WEIGHT + allowed) / (PRIOR_WEIGHT + named)
     }
 
-    fn add(&mut self, queue: &str, named: usize, good: usize) {
+    fn add(&mut self, queue: &str, named: usize, allowed: usize) {
         let sums = self.0.entry(queue.to_owned()).or_default();
         sums.0 += named as f64;
-        sums.1 += good as f64;
+        sums.1 += allowed as f64;
     }
 }
 
@@ -109,9 +109,9 @@
         let Some(state) = entry.units.get(&(unit.round, unit.step)) else { return };
         let new = |worker: &&WorkerId| !state.advice.asked.contains(*worker);
         let named = asked.iter().filter(new).count();
-        let good = healthy.iter().map(|(worker, _)| worker).filter(new).count();
+        let allowed = healthy.iter().map(|(worker, _)| worker).filter(new).count();
         let queue = entry.queue.clone();
-        self.shares.add(&queue, named, good);
+        self.shares.add(&queue, named, allowed);
     }
 
     pub(crate) fn drop_ticket(&mut self, unit: Unit, worker: &str) {
--- a/components/sched/src/assemble.rs
+++ b/components/sched/src/assemble.rs
@@ -114,7 +114,7 @@
         self.refresh_reclaimable(clock, queue.priority);
         let Some(state) = self.unit(unit) else { return };
         let offers = self.offers(clock, state, step, queue, room);
-        let chosen = choose(self.with_stoppable(clock, offers, state, step, queue.priority), state, step);
+        let chosen = choose(self.with_preemptible(clock, offers, state, step, queue.priority), state, step);
         let again = if chosen.is_empty() { RETRY_INTERVAL } else { REFRESH_INTERVAL };
         let mut claims = Vec::new();
         let mut stops = Vec::new();
@@ -159,7 +159,7 @@
     }
 
     /// Adds the runs that may be preempted to the offers, if free room alone isn't enough and preemption could be.
-    fn with_stoppable<'a>(
+    fn with_preemptible<'a>(
         &self,
         clock: Clock,
         mut offers: Vec<Offer<'a>>,
--- a/components/sched/src/handover.rs
+++ b/components/sched/src/handover.rs
@@ -84,12 +84,12 @@
     /// accepted has certainly expired. All orders were sent before the end of the earlier incarnation was known.
     pub(crate) fn free_handed_over(&mut self, clock: Clock) {
         let longest = self.limits.max_lease_lapse_time();
-        let over = |worker: &Worker| {
+        let lapsed = |worker: &Worker| {
             let silent = worker.contact == Contact::Unknown && !worker.runs.is_empty();
             silent && clock.now.saturating_sub(worker.last_heard) > longest
         };
         let ids: Vec<WorkerId> =
-            self.workers.iter().filter(|(_, worker)| over(worker)).map(|(id, _)| id.clone()).collect();
+            self.workers.iter().filter(|(_, worker)| lapsed(worker)).map(|(id, _)| id.clone()).collect();
         ids.iter().for_each(|id| self.free_all_runs(clock, id));
     }
 
@@ -116,7 +116,7 @@
 
     /// Changes the id of a worker whose time of birth has become known from the platform's list. As far as is known
     /// it is the same incarnation.
-    pub(crate) fn rename(&mut self, clock: Clock, id: &str, born: &str) {
+    pub(crate) fn rename(&mut self, clock: Clock, id: &str, new_id: &str) {
         let unsettled_runs = self.unsettled_runs(id);
         let Some(worker) = self.workers.get(id) else { return };
         let listed: Vec<(Task, Attempt, Run)> = worker
@@ -127,17 +127,17 @@
             .filter(|(task, attempt, _)| self.holds(*task, id, *attempt))
             .collect();
         let (info, left) = (worker.info.clone(), worker.possibly_lost.clone());
-        self.record_worker(clock, born.to_owned(), (*info).clone());
+        self.record_worker(clock, new_id.to_owned(), (*info).clone());
         self.free_all_runs(clock, id);
         self.workers.remove(id);
         for (task, attempt, run) in listed {
-            if let Some(worker) = self.workers.get_mut(born) {
+            if let Some(worker) = self.workers.get_mut(new_id) {
                 worker.add_run(task, attempt, run);
             }
-            self.set_placed(task, born, attempt);
+            self.set_placed(task, new_id, attempt);
         }
-        self.hand_over(id, born, unsettled_runs);
-        if let Some(worker) = self.workers.get_mut(born) {
+        self.hand_over(id, new_id, unsettled_runs);
+        if let Some(worker) = self.workers.get_mut(new_id) {
             worker.possibly_lost = left;
         }
         self.departed.insert(id.to_owned());
--- a/components/sched/src/place.rs
+++ b/components/sched/src/place.rs
@@ -18,7 +18,7 @@
 /// Interval after which further questions for a unit are considered: about as often as room changes.
 const ASK_INTERVAL: Duration = Duration::from_millis(50);
 /// Number of waiting units up to which every pass tries all of them.
-const MAX_UNITS_PER_PASS: usize = 16;
+const DEFERRAL_THRESHOLD: usize = 16;
 /// When more units wait, one that found no place is tried again after this interval, unless it learns of new workers.
 /// Checking all workers for all units in every pass would take too much of the leader's CPU time.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
@@ -47,7 +47,7 @@
         if self.has_spare_processor() {
             room.count_cores();
         }
-        let many = candidates.len() > MAX_UNITS_PER_PASS;
+        let many = candidates.len() > DEFERRAL_THRESHOLD;
         for candidate in candidates {
             if many && self.is_deferred(clock, candidate.unit) {
                 continue;
@@ -61,19 +61,19 @@
         if self.settled {
             return self.drop_unseen(clock);
         }
-        let waits = self.predecessor_active + self.limits.lease_lapse_time();
-        self.settled = clock.now.saturating_sub(self.term_start) > waits;
+        let lapse_time = self.predecessor_active + self.limits.lease_lapse_time();
+        self.settled = clock.now.saturating_sub(self.term_start) > lapse_time;
     }
 
     /// Ends workers that have never answered in this term, aren't listed any more, and whose leases have expired:
     /// leases of earlier terms have expired by now.
     fn drop_unseen(&mut self, clock: Clock) {
         let longest = self.limits.max_lease_lapse_time();
-        let over = |worker: &Worker| {
+        let lapsed = |worker: &Worker| {
             !worker.follows_earlier_incarnation || clock.now.saturating_sub(worker.last_heard) > longest
         };
         let unseen =
-            |worker: &Worker| worker.contact == Contact::Unknown && worker.unlisted_since.is_some() && over(worker);
+            |worker: &Worker| worker.contact == Contact::Unknown && worker.unlisted_since.is_some() && lapsed(worker);
         let ids: Vec<WorkerId> =
             self.workers.iter().filter(|(_, worker)| unseen(worker)).map(|(id, _)| id.clone()).collect();
         ids.iter().for_each(|id| self.end_worker(clock, id, WorkerEndReason::Unseen));
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Skips a unit that found no place for [`RETRY_INTERVAL`].
+    /// Defers a unit that found no place by [`RETRY_INTERVAL`].
     fn defer(&mut self, clock: Clock, unit: Unit) {
         if let Some(state) = self.unit_mut(unit) {
             state.retry_at = clock.now + RETRY_INTERVAL;
--- a/components/sched/src/worker_list.rs
+++ b/components/sched/src/worker_list.rs
@@ -61,13 +61,12 @@
         let name = WorkerIncarnation::from_id(id).name;
         let first = WorkerIncarnation { name, born: Some(0) }.id();
         let born = self.workers.range(first..).map(|(id, _)| id);
-        let lives = born.take_while(|id| WorkerIncarnation::from_id(id).name == name);
+        let incarnations = born.take_while(|id| WorkerIncarnation::from_id(id).name == name);
         let unborn = self.workers.get_key_value(name).map(|(id, _)| id);
-        lives.chain(unborn).max_by_key(|id| WorkerIncarnation::from_id(id).born).cloned()
+        incarnations.chain(unborn).max_by_key(|id| WorkerIncarnation::from_id(id).born).cloned()
     }
 
-    /// Processes the incarnations that are listed now. Those whose entries are stale
-    /// (`None`) stay as they are.
+    /// Processes the incarnations that are listed now. Those whose entries are stale (`None`) stay as they are.
     fn apply_list(&mut self, clock: Clock, present: BTreeMap<WorkerId, Option<WorkerInfo>>) {
         for (id, worker) in &mut self.workers {
             match present.contains_key(id) {
@@ -109,14 +108,14 @@
         let mut latest: BTreeMap<&str, u64> = BTreeMap::new();
         for (id, info) in present.iter().filter_map(|(id, info)| Some((id, info.as_ref()?))) {
             let Some(born) = WorkerIncarnation::from_id(id).born else { continue };
-            for place in [WorkerIncarnation::from_id(id).name, info.address.as_str()] {
-                let known = latest.entry(place).or_insert(born);
+            for key in [WorkerIncarnation::from_id(id).name, info.address.as_str()] {
+                let known = latest.entry(key).or_insert(born);
                 *known = born.max(*known);
             }
         }
         let is_replaced = |(id, worker): &(&WorkerId, &Worker)| {
             let WorkerIncarnation { name, born } = WorkerIncarnation::from_id(id);
-            let later = |place: &str| latest.get(place).is_some_and(|latest| born.is_some_and(|born| *latest > born));
+            let later = |key: &str| latest.get(key).is_some_and(|latest| born.is_some_and(|born| *latest > born));
             later(name) || later(&worker.info.address)
         };
         missing.into_iter().filter(is_replaced).map(|(id, _)| id.clone()).collect()
