--- a/components/node/src/claims.rs
+++ b/components/node/src/claims.rs
@@ -43,7 +43,7 @@
             claim: claim.as_ref(),
             own: &shared.owner,
             winner: member::highest_ranked(&key, hosts.iter().map(String::as_str)),
-            owner_live: claim.as_ref().is_some_and(|claim| owner_live(shared, claim)),
+            owner_live: claim.as_ref().is_some_and(|claim| is_owner_live(shared, claim)),
         };
         match claim::next_step(view) {
             Step::Leave => drop_partition(shared, number),
@@ -54,14 +54,15 @@
     steps
 }
 
-fn owner_live(shared: &Shared, claim: &Claim) -> bool {
+fn is_owner_live(shared: &Shared, claim: &Claim) -> bool {
     let Some(owner) = &claim.owner else { return false };
     if *owner == shared.owner {
         return true;
     }
     let state = shared.membership.state(&owner.host);
-    let same_life = shared.membership.get(&owner.host).is_some_and(|member| member.incarnation == owner.incarnation);
-    same_life && matches!(state, Some(HostState::Live | HostState::Leaving))
+    let same_incarnation =
+        shared.membership.get(&owner.host).is_some_and(|member| member.incarnation == owner.incarnation);
+    same_incarnation && matches!(state, Some(HostState::Live | HostState::Leaving))
 }
 
 /// Drops the state of a partition that this host no longer owns.
--- a/components/node/src/commands.rs
+++ b/components/node/src/commands.rs
@@ -164,13 +164,13 @@
     let mut names = Vec::new();
     for workload in workloads {
         names.push(workload.name.clone());
-        submit_one(shared, workload, &mut change)?;
+        submit_workload(shared, workload, &mut change)?;
     }
     change.message = format!("accepted {}", names.join(", "));
     Ok(change)
 }
 
-fn submit_one(shared: &Shared, workload: Workload, change: &mut Change) -> Result<(), String> {
+fn submit_workload(shared: &Shared, workload: Workload, change: &mut Change) -> Result<(), String> {
     let known = shared.configuration.workload(&workload.name);
     if known.as_ref().is_some_and(|known| !is_over(shared, known)) {
         return Err(format!("workload {} exists and has not ended; change or cancel it", workload.name));
--- a/components/node/src/owner.rs
+++ b/components/node/src/owner.rs
@@ -129,14 +129,14 @@
             return;
         }
         owned.compared_at = now;
-        let mut gone = Vec::new();
+        let mut lost = Vec::new();
         for (task, attempt, worker) in owned.tracker.possibly_live_attempts() {
             let visible_from = owned.visible_from.get(&(task.clone(), attempt));
             if shared.facts.is_missing(worker, &task, attempt, visible_from) {
-                gone.push((task, attempt));
+                lost.push((task, attempt));
             }
         }
-        for (task, attempt) in gone {
+        for (task, attempt) in lost {
             owned.tracker.mark_lost(&task, attempt, now);
         }
         let live: BTreeSet<(Id, Attempt)> =
--- a/components/node/src/recovery.rs
+++ b/components/node/src/recovery.rs
@@ -45,7 +45,8 @@
         .unwrap_or(false)
 }
 
-/// Confirms a claim with the platform or, if it can't be reached, with all neighbours: none may know a higher epoch.
+/// Confirms a claim with the platform or, if it can't be reached, with the neighbours. In that case each of them must
+/// answer, and none may know a higher epoch.
 async fn confirm_claim(shared: &Arc<Shared>, number: Partition, epoch: u64) -> bool {
     let record_key = RecordKey::Claim(shared.data_centre().clone(), number);
     let key = format!("{}{}", keys::cell_prefix(&shared.settings.cell), record_key.key());
