--- a/components/sched/src/advice.rs
+++ b/components/sched/src/advice.rs
@@ -1,4 +1,4 @@
-//! The adviser's answers: which workers may run a unit. What to ask next is in [`crate::questions`].
+//! The advice service's answers: which workers may run a unit. What to ask next is in [`crate::questions`].
 //!
 //! The set of workers that may run a unit never changes; only tickets expire.
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// What the adviser said about the workers for a unit.
+/// What the advice service said about the workers for a unit.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct UnitAdvice {
     /// Workers that were named in answered questions.
@@ -86,7 +86,7 @@
 }
 
 impl Engine {
-    /// Processes the adviser's answer: the workers among `asked` that may run the unit.
+    /// Processes the advice service's answer: the workers among `asked` that may run the unit.
     pub fn advice_received(&mut self, unit: Unit, asked: &[WorkerId], healthy: Vec<(WorkerId, Ticket)>) {
         self.count_shares(unit, asked, &healthy);
         let Some(state) = self.unit_mut(unit) else { return };
--- a/components/sched/src/assemble.rs
+++ b/components/sched/src/assemble.rs
@@ -1,9 +1,9 @@
 //! Assembles room for a whole gang from free room and from less urgent runs that can be preempted because they resume
 //! from a checkpoint.
 //!
-//! A gang needs room for all its tasks at once, on workers that the adviser allows. On a fully loaded cell where few
-//! workers may run it, that much room rarely becomes free by itself, while less urgent tasks with checkpoints have
-//! seconds to spare.
+//! A gang needs room for all its tasks at once, on workers that the advice service allows. On a fully loaded cell
+//! where few workers may run it, that much room rarely becomes free by itself, while less urgent tasks with
+//! checkpoints have seconds to spare.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -21,7 +21,7 @@
 /// cost more than they gain.
 const SPARE_CPU_MAX_WORKERS: usize = 600;
 /// Interval between two attempts to assemble room for a gang: about as often as room changes, like questions to the
-/// adviser.
+/// advice service.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// The same once there is room for all of it.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(150);
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Offers of the workers that the adviser allows.
+    /// Offers of the workers that the advice service allows.
     fn offers<'a>(
         &self,
         clock: Clock,
--- a/components/sched/src/engine.rs
+++ b/components/sched/src/engine.rs
@@ -40,7 +40,7 @@
     pub job: Arc<Job>,
     /// Checkpoint to resume from; empty for none.
     pub checkpoint: String,
-    /// The adviser's permission, if the queue has an adviser.
+    /// The advice service's permission, if its queue uses it.
     pub ticket: Option<String>,
 }
 
@@ -51,7 +51,7 @@
     Start(WorkerId, Start),
     /// Stop a run on a worker. Repeated until it is answered or the worker's leases have expired.
     Stop(WorkerId, Task, Attempt),
-    /// Ask the adviser which workers may run a unit.
+    /// Ask the advice service which workers may run a unit.
     Ask(Question),
     /// An incarnation of a worker has ended; nothing more is sent to it.
     Forget(WorkerId),
@@ -127,7 +127,7 @@
     pub(crate) shares: Shares,
     /// Time from the decision to start a run to the worker's answer.
     pub(crate) start_latency: Latency,
-    /// Number of hosts that are free to ask the adviser a long question.
+    /// Number of hosts that are free to ask the advice service a long question.
     pub(crate) askers: usize,
     /// Room that preemption could free for gangs, by priority of the gang's queue.
     pub(crate) reclaimable: HashMap<u32, Reclaimable>,
--- a/components/sched/src/entry.rs
+++ b/components/sched/src/entry.rs
@@ -71,7 +71,7 @@
     pub starts: u64,
     /// Last checkpoint of a gang.
     pub checkpoint: String,
-    /// What the adviser said about the workers that may run it.
+    /// What the advice service said about the workers that may run it.
     pub advice: UnitAdvice,
     /// Room that is being freed for it.
     pub claims: Vec<Claim>,
--- a/components/sched/src/explain.rs
+++ b/components/sched/src/explain.rs
@@ -124,7 +124,7 @@
                 with_ticket += slots;
             }
         }
-        let asking = if !unit.advice.asking.is_empty() { "; the adviser is being asked" } else { "" };
+        let asking = if !unit.advice.asking.is_empty() { "; the advice service is being asked" } else { "" };
         let gang = if step.gang { ", all at once" } else { "" };
         format!(
             "{} tasks need places{gang}: {workers} suitable workers have room for {fitting}, those with a ticket for {with_ticket}{asking}",
--- a/components/sched/src/lib.rs
+++ b/components/sched/src/lib.rs
@@ -1,8 +1,8 @@
 //! The scheduler of jobs: a deterministic state machine without I/O and without a clock.
 //!
 //! Inputs are events with their time (worker reports, outcomes of orders, accepted jobs, advice). Outputs are orders
-//! to workers, questions to the adviser and records for the log. Nothing blocks or fails: a decision that can't be
-//! made yet is tried again at the next event.
+//! to workers, questions to the advice service and records for the log. Nothing blocks or fails: a decision that
+//! can't be made yet is tried again at the next event.
 
 mod advice;
 mod assemble;
--- a/components/sched/src/place.rs
+++ b/components/sched/src/place.rs
@@ -28,7 +28,8 @@
 const MAX_OPEN_UNITS: usize = 256;
 
 impl Engine {
-    /// Runs one scheduling pass: starts tasks, asks the adviser, and stops the remaining members of broken gangs.
+    /// Runs one scheduling pass: starts tasks, asks the advice service, and stops the remaining members of broken
+    /// gangs.
     pub fn plan(&mut self, clock: Clock) {
         if std::mem::take(&mut self.reconfigured) {
             self.fail_exhausted(clock);
@@ -129,8 +130,8 @@
         self.unit(unit).is_some_and(|state| clock.now < state.retry_at && state.claims.is_empty())
     }
 
-    /// Starts the tasks of a unit that can be started, asks the adviser for the others, and preempts less urgent
-    /// runs.
+    /// Starts the tasks of a unit that can be started, asks the advice service for the others, and preempts less
+    /// urgent runs.
     fn schedule_unit(&mut self, clock: Clock, candidate: &Candidate, room: &mut Room) {
         let unit = candidate.unit;
         if let Some(state) = self.unit_mut(unit) {
@@ -155,7 +156,7 @@
         }
         // A job that isn't durable yet is placed anyway: its starts are sent after its own record is written.
         let is_durable = entry.accepted.position <= self.durable;
-        // Nor does it keep asking the adviser meanwhile, since the tickets would expire.
+        // Nor does it keep asking the advice service meanwhile, since the tickets would expire.
         let left = self.headroom_limit(clock, unit, step, &queue, room);
         if left == 0 {
             return self.defer(clock, unit);
@@ -218,7 +219,7 @@
         room.claim(&state.claims, &need);
     }
 
-    /// Asks the next questions for a unit with pending tasks whose queue has an adviser.
+    /// Asks the next questions for a unit with pending tasks whose queue uses the advice service.
     fn ask(&mut self, clock: Clock, unit: Unit, queue: &Queue, room: &Room) {
         let Some(advice) = queue.advice else { return };
         let Some(state) = self.unit(unit) else { return };
--- a/components/sched/src/questions.rs
+++ b/components/sched/src/questions.rs
@@ -1,9 +1,9 @@
-//! Chooses the next questions to the adviser about a unit: which workers to name, and in how many questions.
+//! Chooses the next questions to the advice service about a unit: which workers to name, and in how many questions.
 //!
-//! The adviser works on one question per calling host at a time, and its answer takes longer the more workers are
-//! named. If several hosts are free, a unit's workers are therefore split into several short questions that are asked
-//! at once, so that all tickets arrive, and are valid, together. With one question at a time, the tickets of the
-//! first answers would expire before the last one arrives, and a wide gang would never start.
+//! The advice service works on one question per calling host at a time, and its answer takes longer the more workers
+//! are named. If several hosts are free, a unit's workers are therefore split into several short questions that are
+//! asked at once, so that all tickets arrive, and are valid, together. With one question at a time, the tickets of
+//! the first answers would expire before the last one arrives, and a wide gang would never start.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -16,14 +16,14 @@
 use crate::engine::{Clock, Engine};
 use crate::room::{Place, Room};
 
-/// A question to the adviser.
+/// A question to the advice service.
 #[derive(Clone, Debug)]
 pub struct Question {
     /// The unit that the workers are to run.
     pub unit: Unit,
     /// Workers to name.
     pub workers: Vec<WorkerId>,
-    /// How long the adviser is expected to take.
+    /// How long the advice service is expected to take.
     pub cost: Duration,
     /// Priority of the queue; 0 is the most urgent.
     pub priority: u32,
@@ -34,7 +34,7 @@
 /// What a question is based on.
 pub(crate) struct Inquiry<'a> {
     pub unit: Unit,
-    /// Response times of the adviser.
+    /// Response times of the advice service.
     pub advice: Advice,
     pub queue: &'a Queue,
     pub room: &'a Room,
@@ -49,7 +49,7 @@
 /// Enough workers are named that the probability that none of them may run the unit is at most this. Another question
 /// costs a long-running task half a second of the ten within which it must run again.
 const MAX_CHANCE_OF_NONE: f64 = 0.02;
-/// Maximum number of workers that a question may name; a limit of the adviser.
+/// Maximum number of workers that a question may name; a limit of the advice service.
 const MAX_NAMED: usize = 100;
 /// Number of tasks that a worker counts for while it has no room, which it may have soon.
 const FULL_WORKER_TASKS: f64 = 0.3;
@@ -82,7 +82,7 @@
 }
 
 impl Engine {
-    /// Sets the number of hosts that are free to ask the adviser a long question.
+    /// Sets the number of hosts that are free to ask the advice service a long question.
     pub fn set_askers(&mut self, free: usize) {
         self.askers = free;
     }
--- a/components/sched/src/room.rs
+++ b/components/sched/src/room.rs
@@ -103,7 +103,7 @@
     }
 
     /// Number of tasks of a unit that could start here now, by room and by the step's limit of tasks per worker.
-    /// Without that limit the adviser would be asked forever about workers that are at the limit, and about no
+    /// Without that limit the advice service would be asked forever about workers that are at the limit, and about no
     /// others.
     pub(crate) fn tasks(&self, state: &UnitState, step: &Step) -> usize {
         self.tasks_in(&self.free, state, step)
