--- a/components/work/src/id.rs
+++ b/components/work/src/id.rs
@@ -13,7 +13,8 @@
 pub type WorkspaceName = String;
 /// Identifies one incarnation of a worker; see [`crate::WorkerIncarnation`].
 pub type WorkerId = String;
-/// Leadership term. Each leader's term is higher than those of all leaders before it; workers use it as a fencing token for orders.
+/// Leadership term. Each leader's term is higher than those of all leaders before it. Workers use it as a fencing token for
+/// orders.
 pub type Term = u64;
 /// Number of a run of a task, which increases with each start. All tasks of a gang share it.
 pub type Attempt = u64;
