--- a/components/node/src/shared.rs
+++ b/components/node/src/shared.rs
@@ -1,5 +1,5 @@
-//! What the parts of an entry host share. Each part has its own state under its own lock; locks are taken in
-//! the order partition, ledger, facts, and none is held across an await.
+//! State shared by the modules of an entry host. Each module has its own locks. They are acquired in the order
+//! partition, ledger, facts, and none is held across an await.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -17,38 +17,38 @@
 
 use crate::commit::Committer;
 use crate::configuration::Configuration;
-use crate::holds::Holds;
+use crate::held_workers::HeldWorkers;
 use crate::listing::Listing;
 use crate::membership::Membership;
 use crate::owner::Partitions;
-use crate::peers::Links;
+use crate::peers::PeerClient;
 
 pub(crate) struct Shared {
     pub(crate) settings: Settings,
     pub(crate) log: Logger,
     pub(crate) metrics: Metrics,
     pub(crate) own: Peer,
-    /// This host in its present life.
+    /// This host with its present incarnation, as written into claims.
     pub(crate) owner: Owner,
     pub(crate) store: Arc<dyn Store>,
     pub(crate) lister: Arc<dyn Lister>,
     pub(crate) budget: Arc<Budget>,
-    /// Whether the platform answered the last call.
-    pub(crate) platform_answers: AtomicBool,
-    pub(crate) links: Links,
+    /// Whether the last call to the platform was answered.
+    pub(crate) platform_reachable: AtomicBool,
+    pub(crate) peer_client: PeerClient,
     pub(crate) membership: Membership,
     pub(crate) configuration: Configuration,
     pub(crate) listing: Listing,
     pub(crate) facts: Facts,
-    pub(crate) holds: Holds,
+    pub(crate) held_workers: HeldWorkers,
     pub(crate) partitions: Partitions,
     pub(crate) committer: Committer,
     pub(crate) gateway: Arc<Gateway>,
-    /// Set when something may let waiting work start.
-    pub(crate) look_again: Notify,
-    /// Set when a neighbour has newer facts.
-    pub(crate) facts_behind: Notify,
-    /// Set when service instances may have changed.
+    /// Notified when waiting work may be able to start.
+    pub(crate) schedule_needed: Notify,
+    /// Notified when a neighbour has newer facts.
+    pub(crate) facts_pull_needed: Notify,
+    /// Notified when service instances may have changed.
     pub(crate) services_changed: Notify,
     pub(crate) stopping: watch::Sender<bool>,
 }
@@ -58,8 +58,8 @@
         &self.own.data_centre
     }
 
-    /// Longest gap between two looks at the clock that is not a pause.
-    pub(crate) fn pause_bound(&self) -> Duration {
+    /// The longest time between two reads of the clock that is not considered a pause.
+    pub(crate) fn max_clock_gap(&self) -> Duration {
         self.settings.membership.dead_after
     }
 
@@ -68,11 +68,11 @@
         ledger::LeaseLimits { lease, margin: lease / 10 }
     }
 
-    pub(crate) fn platform_said<T>(&self, outcome: &Result<T, store::Fault>) {
+    pub(crate) fn record_platform_result<T>(&self, outcome: &Result<T, store::Fault>) {
         match outcome {
-            Ok(_) | Err(store::Fault::Refused(_)) => self.platform_answers.store(true, Ordering::Relaxed),
+            Ok(_) | Err(store::Fault::Refused(_)) => self.platform_reachable.store(true, Ordering::Relaxed),
             Err(store::Fault::NotSent(_) | store::Fault::Unknown(_)) => {
-                self.platform_answers.store(false, Ordering::Relaxed);
+                self.platform_reachable.store(false, Ordering::Relaxed);
             }
             Err(store::Fault::OverBudget | store::Fault::TooLarge(..)) => {}
         }
@@ -83,7 +83,7 @@
     }
 }
 
-/// A number that a later start of the same host exceeds, as long as clocks don't go back.
+/// The incarnation of this process. Higher at each later start of the host, provided that its clock isn't set back.
 pub(crate) fn incarnation() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |since| since.as_nanos() as u64)
 }
