--- a/components/entry/src/host.rs
+++ b/components/entry/src/host.rs
@@ -9,7 +9,7 @@
 use parking_lot::Mutex;
 use slog::Logger;
 use tokio::sync::watch;
-use work::key::Presented;
+use work::key::Credential;
 use work::{Config, Unit, WorkerId};
 
 use crate::config::{self, Admission};
@@ -76,7 +76,7 @@
     /// Its metrics.
     pub metrics: metrics::Jobs,
     /// Zero of its steady clock.
-    pub(crate) started: clock::Start,
+    pub(crate) started: clock::Stopwatch,
     config: watch::Sender<Arc<Config>>,
     /// When it was last known to be the newest, on the steady clock.
     config_confirmed_at: watch::Sender<Duration>,
@@ -206,7 +206,7 @@
     }
 
     /// Finds the queue and the workspace of a caller's call, by the host name, the path and the key that it brings.
-    pub async fn admit(&self, name: &str, path: &str, key: Presented, until: Instant) -> Admission {
+    pub async fn admit(&self, name: &str, path: &str, key: Credential, until: Instant) -> Admission {
         config::admit(self, name, path, key, until).await
     }
 
--- a/components/entry/src/leadership/parts.rs
+++ b/components/entry/src/leadership/parts.rs
@@ -90,12 +90,12 @@
     if let Some(item) = items.iter().find(|item| !readable(item)) {
         bail!("{} is of another format than {}: another version of this program has written it", item.key, FORMAT[1]);
     }
-    let read = work::log::read(items.iter().filter_map(|item| read_part(host, item)));
+    let read = work::log::classify_parts(items.iter().filter_map(|item| read_part(host, item)));
     let (excess, stale) = read.stale.split_at(read.stale.len().saturating_sub(MAX_REMOVED));
     for parts in excess.chunks(MAX_REMOVED) {
         remove(host, claim, parts).await?;
     }
-    Ok(LoadedLog { log: read.parts, stale: stale.to_vec() })
+    Ok(LoadedLog { log: read.valid, stale: stale.to_vec() })
 }
 
 /// Removes parts, as long as nobody else claims.
--- a/components/entry/src/leadership/pending.rs
+++ b/components/entry/src/leadership/pending.rs
@@ -48,7 +48,7 @@
     /// Takes a job out of a part that surely isn't written. Whether it could.
     pub(crate) fn withdraw(&self, id: JobId) -> bool {
         let accepts = |record: &Record| matches!(record, Record::Accepted { id: other, .. } if *other == id);
-        let of_job = |record: &Record| record.job() == Some(id) || record.placed() == Some(id);
+        let of_job = |record: &Record| record.job() == Some(id) || record.placed_job() == Some(id);
         let mut pending_parts = self.0.lock();
         let unwritten =
             pending_parts.values().any(|pending| !pending.maybe_written && pending.part.records.iter().any(accepts));
