--- a/components/entry/src/election.rs
+++ b/components/entry/src/election.rs
@@ -113,7 +113,7 @@
 async fn follow_leader(host: &Arc<Host>, leader: Leader, record_revision: u64) {
     if leader.host == host.settings.host {
         // A claim of this life may still be reading the log.
-        let own = leader.life == host.settings.life;
+        let own = leader.incarnation == host.settings.incarnation;
         let current = host.claimed_term.load(Ordering::Acquire) == leader.term;
         if !(own && current) {
             // The record is of an earlier life of this process, which surely has ended.
@@ -139,7 +139,7 @@
 /// Links to a leader and keeps asking for signs of life. `record` is the revision of the record that names it.
 async fn connect(host: &Arc<Host>, leader: Leader, record_revision: Option<u64>) {
     let leads = matches!(host.role(), Role::Leading(leadership) if leadership.term >= leader.term);
-    if leads || leader.life == host.settings.life {
+    if leads || leader.incarnation == host.settings.incarnation {
         return;
     }
     let Some(link) = dial(host, &leader).await else {
@@ -365,7 +365,7 @@
     let term = old + 1;
     let leader = Leader {
         host: host.settings.host.clone(),
-        life: host.settings.life,
+        incarnation: host.settings.incarnation,
         address: host.settings.address.clone(),
         term,
     };
--- a/components/entry/src/host.rs
+++ b/components/entry/src/host.rs
@@ -28,7 +28,7 @@
     /// Name of the host.
     pub host: String,
     /// Unique to this life of the process.
-    pub life: u64,
+    pub incarnation: u64,
     /// Where other hosts reach it.
     pub address: String,
     /// Bounds for the decisions.
--- a/components/entry/src/leadership.rs
+++ b/components/entry/src/leadership.rs
@@ -195,7 +195,7 @@
         if self.predecessor_ended() {
             return;
         }
-        let shows_it = |follower: &Follower, last_leader: &Leader| {
+        let is_later_process = |follower: &Follower, last_leader: &Leader| {
             follower.idle && follower.term == self.term && follower.address == last_leader.address
         };
         let last_leader = {
@@ -204,7 +204,7 @@
             claim
                 .last_leader
                 .as_ref()
-                .filter(|last_leader| followers.values().any(|follower| shows_it(follower, last_leader)))
+                .filter(|last_leader| followers.values().any(|follower| is_later_process(follower, last_leader)))
                 .cloned()
         };
         let Some(last_leader) = last_leader else { return };
--- a/components/entry/src/leadership/orders.rs
+++ b/components/entry/src/leadership/orders.rs
@@ -88,7 +88,7 @@
             leadership.host.leadership_ended(leadership.term);
             OrderOutcome::Refused
         }
-        Ok(Reply::OtherLife) => OrderOutcome::Refused,
+        Ok(Reply::OtherIncarnation) => OrderOutcome::Refused,
         Ok(Reply::Refused(Refusal::Ticket)) => OrderOutcome::Ticket,
         Ok(Reply::Refused(Refusal::Unhealthy)) => OrderOutcome::Unhealthy,
         Ok(Reply::Refused(Refusal::Other)) => OrderOutcome::Refused,
@@ -109,7 +109,7 @@
                 leadership.plan.notify_one();
                 return;
             }
-            Ok(Reply::Fenced | Reply::OtherLife) => return,
+            Ok(Reply::Fenced | Reply::OtherIncarnation) => return,
             Ok(Reply::Refused(_)) | Err(_) => tokio::time::sleep(STOP_RETRY_DELAY).await,
         }
     }
--- a/components/entry/src/leadership/renewal.rs
+++ b/components/entry/src/leadership/renewal.rs
@@ -181,7 +181,7 @@
         acked: u64,
     ) -> bool {
         match outcome {
-            Ok(Reply::Done(status)) if self.is_other_life(status.born) => {
+            Ok(Reply::Done(status)) if self.is_other_incarnation(status.born) => {
                 self.handle_replacement(status.born);
                 return false;
             }
@@ -197,7 +197,7 @@
                 self.leadership.host.leadership_ended(self.leadership.term);
                 return false;
             }
-            Ok(Reply::OtherLife) => {
+            Ok(Reply::OtherIncarnation) => {
                 self.handle_replacement(None);
                 return false;
             }
@@ -251,7 +251,7 @@
     }
 
     /// Whether the life that answers is another one than this. An order names the worker only, and reaches whichever life is there.
-    fn is_other_life(&self, born: Option<u64>) -> bool {
+    fn is_other_incarnation(&self, born: Option<u64>) -> bool {
         let own = WorkerIncarnation::from_id(&self.target.id).born;
         own.is_some() && born.is_some() && own != born
     }
--- a/components/entry/src/message.rs
+++ b/components/entry/src/message.rs
@@ -14,7 +14,7 @@
     /// Name of its host.
     pub host: String,
     /// Life of its process.
-    pub life: u64,
+    pub incarnation: u64,
     /// Where it takes links.
     pub address: String,
     /// Its term.
--- a/components/entry/src/peers.rs
+++ b/components/entry/src/peers.rs
@@ -117,7 +117,8 @@
 /// Waits while a claim of this host is under way that the store shows already and hasn't answered yet. A follower that was told
 /// that this host doesn't lead would claim over it, and nobody would be left to tell a leader that the store turns away.
 async fn wait_for_claim_outcome(host: &Host, leader: &Leader) {
-    let seen_early = || leader.life == host.settings.life && leader.term > host.claimed_term.load(Ordering::Acquire);
+    let seen_early =
+        || leader.incarnation == host.settings.incarnation && leader.term > host.claimed_term.load(Ordering::Acquire);
     while seen_early() && host.claim_lock.try_lock().is_err() {
         tokio::time::sleep(CLAIM_POLL_INTERVAL).await;
     }
@@ -126,7 +127,7 @@
 /// Takes a follower in. One that means an earlier life of this process, or an earlier claim, is told so.
 fn add_follower(host: &Arc<Host>, leader: &Leader, follower: Follower) -> Answer {
     let names_this_claim =
-        leader.life == host.settings.life && leader.term <= host.claimed_term.load(Ordering::Acquire);
+        leader.incarnation == host.settings.incarnation && leader.term <= host.claimed_term.load(Ordering::Acquire);
     if !names_this_claim || host.stopping() {
         return Answer::NotLeader;
     }
--- a/components/entry/src/services.rs
+++ b/components/entry/src/services.rs
@@ -162,7 +162,7 @@
     /// Another leader has a higher term.
     Fenced,
     /// Another life is at this address.
-    OtherLife,
+    OtherIncarnation,
     /// It was refused and nothing was done.
     Refused(Refusal),
 }
--- a/components/fakes/src/cell.rs
+++ b/components/fakes/src/cell.rs
@@ -233,7 +233,7 @@
         let listener = TcpListener::bind(crate::any_port()).await?;
         let settings = Settings {
             host: name.to_owned(),
-            life: self.began.elapsed().as_nanos() as u64,
+            incarnation: self.began.elapsed().as_nanos() as u64,
             address: listener.local_addr()?.to_string(),
             limits: Limits::example(),
             lease_ttl: Duration::from_millis(1000),
--- a/components/fakes/src/cell/calls.rs
+++ b/components/fakes/src/cell/calls.rs
@@ -42,7 +42,7 @@
         Reply::Done(runner::Reply::Done) => Reply::Done(()),
         Reply::Done(runner::Reply::Fenced) | Reply::Fenced => Reply::Fenced,
         Reply::Done(runner::Reply::Refused) => Reply::Refused(Refusal::Other),
-        Reply::OtherLife => Reply::OtherLife,
+        Reply::OtherIncarnation => Reply::OtherIncarnation,
         Reply::Refused(refusal) => Reply::Refused(refusal),
     }
 }
--- a/components/fakes/src/cell/workers.rs
+++ b/components/fakes/src/cell/workers.rs
@@ -50,7 +50,7 @@
         let now = self.cell.now();
         let mut state = self.cell.state.lock();
         let Some(runner) = state.workers.get_mut(WorkerIncarnation::from_id(&target.id).name) else {
-            return Ok(Reply::OtherLife);
+            return Ok(Reply::OtherIncarnation);
         };
         if !runner.reachable {
             return Err(ServiceError::NotDone("unreachable".to_owned()));
@@ -81,7 +81,7 @@
         Ok(match held {
             Reply::Done(Ok(held)) => Reply::Done(held),
             Reply::Done(Err(_)) | Reply::Fenced => Reply::Fenced,
-            Reply::OtherLife => Reply::OtherLife,
+            Reply::OtherIncarnation => Reply::OtherIncarnation,
             Reply::Refused(refusal) => Reply::Refused(refusal),
         })
     }
