--- a/components/entry/examples/takeover.rs
+++ b/components/entry/examples/takeover.rs
@@ -15,19 +15,19 @@
 use work::{Config, Job, JobId, Queue, Step, Term};
 
 /// Processor time of a call to a worker.
-const CALL: Duration = Duration::from_micros(100);
+const CALL_COST: Duration = Duration::from_micros(100);
 /// Number of followers.
 const FOLLOWERS: usize = 40;
 /// Number of tasks per job, and their duration.
 const TASKS: u32 = 10;
-const TAKES: Duration = Duration::from_secs(2);
+const TASK_DURATION: Duration = Duration::from_secs(2);
 /// One job per second is submitted for this many workers.
-const WORKERS_A_JOB: usize = 85;
+const WORKERS_PER_JOB: usize = 85;
 /// How long the first leader leads under load.
-const BEFORE: Duration = Duration::from_secs(6);
+const WARM_UP: Duration = Duration::from_secs(6);
 /// Reached only by failing takeovers.
-const PATIENCE: Duration = Duration::from_secs(60);
-const LOOK: Duration = Duration::from_millis(1);
+const TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> anyhow::Result<()> {
@@ -43,29 +43,29 @@
 async fn measure(workers: usize) -> anyhow::Result<()> {
     let cell = Cell::new(Config::new(1, vec![queue()], 100_000));
     (0..workers).for_each(|number| cell.add_worker(&format!("w{number:05}"), info(number)));
-    cell.conduct(Conduct { takes: TAKES, how: How::Done });
+    cell.conduct(Conduct { takes: TASK_DURATION, how: How::Done });
     cell.workers_wait(Duration::from_secs(2));
     let mut hosts = vec![cell.host("host-0").await?];
-    reached(|| leads(&hosts[0])).await;
+    wait_until(|| leads(&hosts[0])).await;
     for number in 1..=FOLLOWERS {
         hosts.push(cell.host(&format!("host-{number}")).await?);
     }
-    reached(|| cell.first_calls(1).len() == workers && hosts.iter().all(|host| host.ready())).await;
-    cell.call_costs(CALL);
+    wait_until(|| cell.first_calls(1).len() == workers && hosts.iter().all(|host| host.ready())).await;
+    cell.call_costs(CALL_COST);
     let load =
-        tokio::spawn(submit(hosts[FOLLOWERS].clone(), Duration::from_secs(1) / (workers / WORKERS_A_JOB) as u32));
-    sleep(BEFORE).await;
+        tokio::spawn(submit(hosts[FOLLOWERS].clone(), Duration::from_secs(1) / (workers / WORKERS_PER_JOB) as u32));
+    sleep(WARM_UP).await;
 
     let began = Instant::now();
     let first = hosts.remove(0);
     tokio::spawn(async move { first.stop().await });
-    let claimed = reached(|| hosts.iter().any(leads)).await - began;
+    let claimed = wait_until(|| hosts.iter().any(leads)).await - began;
     let next = hosts.iter().find(|host| leads(host)).cloned().expect("one leads");
     let term = term(&next);
-    let probe = tokio::spawn(accepted(next.clone()));
+    let probe = tokio::spawn(first_accepted(next.clone()));
     // Attempt numbers of a term are higher than those of the previous term.
-    let started = reached(|| cell.starts().last().is_some_and(|(_, _, attempt)| *attempt > 1000)).await;
-    let called = reached(|| cell.first_calls(term).len() >= workers).await;
+    let started = wait_until(|| cell.starts().last().is_some_and(|(_, _, attempt)| *attempt > 1000)).await;
+    let called = wait_until(|| cell.first_calls(term).len() >= workers).await;
     let accepted = probe.await?;
     println!(
         "{workers:7} | {claimed:.2?} | {:.2?} | {:.2?} | {:.2?} | {}",
@@ -91,17 +91,17 @@
 }
 
 /// When the first job is accepted.
-async fn accepted(host: Arc<Host>) -> Instant {
-    while host.ask(job(u64::MAX), Instant::now() + PATIENCE).await != Answer::Accepted {
-        sleep(LOOK).await;
+async fn first_accepted(host: Arc<Host>) -> Instant {
+    while host.ask(job(u64::MAX), Instant::now() + TIMEOUT).await != Answer::Accepted {
+        sleep(POLL_INTERVAL).await;
     }
     Instant::now()
 }
 
-async fn reached(mut holds: impl FnMut() -> bool) -> Instant {
-    let end = Instant::now() + PATIENCE;
+async fn wait_until(mut holds: impl FnMut() -> bool) -> Instant {
+    let end = Instant::now() + TIMEOUT;
     while !holds() && Instant::now() < end {
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     Instant::now()
 }
@@ -112,7 +112,7 @@
 
 fn term(host: &Host) -> Term {
     match host.role() {
-        Role::Leading(reign) => reign.term,
+        Role::Leading(leadership) => leadership.term,
         Role::NoLeader | Role::Following(..) => 0,
     }
 }
--- a/components/entry/src/election.rs
+++ b/components/entry/src/election.rs
@@ -353,16 +353,16 @@
 ) -> anyhow::Result<()> {
     let store = &host.services.store;
     let lease = async { store.grant_lease(host.settings.lease_ttl).await.context("creating a lease") };
-    let counter = async { store.get(TERM_KEY).await.context("reading the counter of terms") };
-    let last_leader = async { store.get(LAST_LEADER_KEY).await.context("reading who led last") };
+    let counter = async { store.get(TERM_KEY).await.context("reading the term counter") };
+    let last_leader = async { store.get(LAST_LEADER_KEY).await.context("reading the last leader") };
     // Concurrently, since each of these calls is slow on a slow store.
     let (lease, counter, last_leader) = tokio::try_join!(lease, counter, last_leader)?;
     let (revision, old): (u64, Term) = match &counter.item {
         None => (0, 0),
-        Some(item) => (item.revision, postcard::from_bytes(&item.value).context("the counter of terms")?),
+        Some(item) => (item.revision, postcard::from_bytes(&item.value).context("decoding the term counter")?),
     };
     if start_term.is_some_and(|start_term| start_term != old) {
-        bail!("a leader came and went during the wait");
+        bail!("the term has changed during the claim delay");
     }
     let last_leader =
         last_leader.item.and_then(|item| decode_leader(host, &item)).filter(|last_leader| last_leader.term == old);
@@ -381,8 +381,8 @@
     };
     let revision = match store.commit(&transaction, CLAIM_TIMEOUT).await {
         Ok(CommitOutcome::Done(revision)) => revision,
-        Ok(CommitOutcome::Conflict(_)) => bail!("another host was faster"),
-        Ok(CommitOutcome::NoLease) => bail!("the lease has run out"),
+        Ok(CommitOutcome::Conflict(_)) => bail!("another host has claimed leadership first"),
+        Ok(CommitOutcome::NoLease) => bail!("the lease has expired"),
         Err(ServiceError::Unknown(error)) => verify_claim(host, &leader).await.context(error)?,
         Err(error) => return Err(error.into()),
     };
@@ -431,11 +431,11 @@
 
 /// Checks whether an unanswered claim was committed. Returns the revision of the term counter.
 async fn verify_claim(host: &Host, leader: &Leader) -> anyhow::Result<u64> {
-    let item = host.services.store.get(TERM_KEY).await?.item.context("no counter of terms")?;
+    let item = host.services.store.get(TERM_KEY).await?.item.context("the term counter is missing")?;
     let now: Term = postcard::from_bytes(&item.value)?;
-    let record_revision = host.services.store.get(LEADER_KEY).await?.item.context("no leader's record")?;
+    let record_revision = host.services.store.get(LEADER_KEY).await?.item.context("the leader's record is missing")?;
     if now != leader.term || decode_leader(host, &record_revision).as_ref() != Some(leader) {
-        bail!("the claim was not done");
+        bail!("the claim was not committed");
     }
     Ok(item.revision)
 }
--- a/components/entry/src/leadership.rs
+++ b/components/entry/src/leadership.rs
@@ -176,7 +176,7 @@
         while let Some(ended) = loops.join_next().await {
             if ended.is_err_and(|error| error.is_panic()) {
                 emit!(self.host.log, events::LOOP_FAILED, "term" => self.term);
-                self.step_down("a loop of the leader failed");
+                self.step_down("a background loop of the leader panicked");
                 self.host.leadership_ended(self.term);
             }
         }
@@ -300,7 +300,7 @@
         self.step_down("planned stop");
         let lease = self.claim.lock().lease;
         if let Err(error) = self.host.services.store.revoke_lease(lease).await {
-            emit!(self.host.log, events::PLATFORM_FAILED, "call" => "end of the lease", "fault" => error.to_string());
+            emit!(self.host.log, events::PLATFORM_FAILED, "call" => "revocation of the lease", "fault" => error.to_string());
         }
         self.host.disconnect_followers();
     }
--- a/components/entry/src/leadership/accept.rs
+++ b/components/entry/src/leadership/accept.rs
@@ -64,7 +64,7 @@
 
     fn refuse(&self, id: JobId, objective: Duration) -> Answer {
         let after = retry_after(objective);
-        emit!(self.host.log, events::JOB_REFUSED, "job" => work::format_job_id(id), "why" => "the store is away",
+        emit!(self.host.log, events::JOB_REFUSED, "job" => work::format_job_id(id), "why" => "the store is unavailable",
             "retry_after_ms" => after.as_millis() as u64, "term" => self.term);
         Answer::Refused(after)
     }
--- a/components/entry/src/leadership/commit.rs
+++ b/components/entry/src/leadership/commit.rs
@@ -197,7 +197,7 @@
                     return Some(Committed { revision, sent });
                 }
                 Ok(CommitOutcome::Conflict(_)) => {
-                    leadership.step_down("the counter of terms was changed by another host");
+                    leadership.step_down("another host has changed the term counter");
                     leadership.host.leadership_ended(leadership.term);
                     return None;
                 }
@@ -220,7 +220,7 @@
                 timeout = MAX_TIMEOUT.min(timeout * 2);
                 resend_at = Instant::now() + timeout;
                 tries.push(attempt(leadership, transaction(leadership, batch)?, Some(usual)));
-                "no answer yet".to_owned()
+                "no response yet".to_owned()
             }
         };
         if leadership.unanswered_since.lock().replace(began).is_none() {
@@ -260,7 +260,7 @@
     };
     tokio::select! {
         outcome = committed => outcome,
-        () = heard => Err(ServiceError::Unknown("the store answers other calls".to_owned())),
+        () = heard => Err(ServiceError::Unknown("no response, although the store answers other calls".to_owned())),
     }
 }
 
@@ -270,7 +270,7 @@
         Ok(transaction) => Some(transaction),
         Err(error) => {
             emit!(leadership.host.log, events::RECORD_UNREADABLE, "key" => TERM_KEY, "fault" => error.to_string());
-            leadership.step_down("a part of the log can't be encoded");
+            leadership.step_down("a part of the log cannot be encoded");
             None
         }
     }
--- a/components/entry/src/leadership/parts.rs
+++ b/components/entry/src/leadership/parts.rs
@@ -88,7 +88,7 @@
     let readable =
         |item: &&KeyValue| [FORMAT].iter().chain(&OLDER_FORMATS).any(|format| item.value.starts_with(format));
     if let Some(item) = items.iter().find(|item| !readable(item)) {
-        bail!("{} is of another format than {}: another version of this program has written it", item.key, FORMAT[1]);
+        bail!("{} was written by another version of this program: its format is not {}", item.key, FORMAT[1]);
     }
     let read = work::log::classify_parts(items.iter().filter_map(|item| read_part(host, item)));
     let (excess, stale) = read.stale.split_at(read.stale.len().saturating_sub(MAX_REMOVED));
@@ -108,20 +108,20 @@
     for _ in 0..MAX_REMOVAL_TRIES {
         match host.services.store.commit(&transaction, REMOVAL_TIMEOUT).await {
             Ok(CommitOutcome::Done(_)) => return Ok(()),
-            Ok(CommitOutcome::Conflict(_) | CommitOutcome::NoLease) => bail!("another host was faster"),
+            Ok(CommitOutcome::Conflict(_) | CommitOutcome::NoLease) => bail!("another host has claimed leadership"),
             Err(error @ (ServiceError::NotDone(_) | ServiceError::Unknown(_) | ServiceError::Malformed(_))) => {
-                emit!(host.log, events::PLATFORM_FAILED, "call" => "removal of parts", "fault" => error.to_string());
+                emit!(host.log, events::PLATFORM_FAILED, "call" => "deletion of log parts", "fault" => error.to_string());
             }
         }
     }
-    bail!("parts behind a gap can't be removed")
+    bail!("stale parts of the log cannot be deleted")
 }
 
 /// Decodes a part of the log. An unreadable part is logged and skipped.
 fn read_part(host: &Host, item: &KeyValue) -> Option<(PartId, Part)> {
     let unreadable = |error: String| emit!(host.log, events::RECORD_UNREADABLE, "key" => &item.key, "fault" => error);
     let Some(id) = part_id(&item.key) else {
-        unreadable("not a part of the log".to_owned());
+        unreadable("the key does not name a part of the log".to_owned());
         return None;
     };
     match postcard::from_bytes(item.value.get(FORMAT.len()..).unwrap_or_default()) {
--- a/components/entry/src/services.rs
+++ b/components/entry/src/services.rs
@@ -15,10 +15,10 @@
     #[error("not done: {0}")]
     NotDone(String),
     /// It is unknown whether the call was carried out.
-    #[error("no answer: {0}")]
+    #[error("outcome unknown: {0}")]
     Unknown(String),
     /// The response can't be interpreted.
-    #[error("malformed answer: {0}")]
+    #[error("malformed response: {0}")]
     Malformed(String),
 }
 
--- a/components/entry/tests/access.rs
+++ b/components/entry/tests/access.rs
@@ -7,12 +7,12 @@
 
 use entry::{AccessRefusal, Admission, Answer, Call, Caller, Client, Host};
 use model::Resources;
-use support::{PATIENCE, ask, cell, config, hosts, job, until};
+use support::{TEST_TIMEOUT, ask, config, job, new_cell, start_hosts, wait_until};
 use work::key::{Credential, Denial, Digest};
 use work::{Config, JobId, State, Workspace};
 
 /// Number of calls with invalid keys.
-const FLOOD: usize = 10_000;
+const INVALID_CALLS: usize = 10_000;
 
 fn workspace(name: &str, keys: &[&str]) -> Workspace {
     let keys = keys.iter().map(|key| Digest::of(key)).collect();
@@ -20,7 +20,7 @@
 }
 
 /// A configuration whose queue requires a key of one of these workspaces.
-fn keyed(version: u64, workspaces: &[(&str, &[&str])]) -> Config {
+fn config_with_keys(version: u64, workspaces: &[(&str, &[&str])]) -> Config {
     let mut queues = config(version).queues;
     queues[0].public = false;
     let workspaces = workspaces.iter().map(|(name, keys)| workspace(name, keys)).collect();
@@ -28,7 +28,7 @@
 }
 
 async fn admit(host: &Host, key: Credential) -> Admission {
-    host.admit("queues.example", "/plans/x", key, Instant::now() + PATIENCE).await
+    host.admit("queues.example", "/plans/x", key, Instant::now() + TEST_TIMEOUT).await
 }
 
 fn key(text: &str) -> Credential {
@@ -45,7 +45,7 @@
 
 async fn submit_as(host: &Arc<Host>, caller: &Caller, id: JobId, tasks: u32) -> Answer {
     let job = Box::new(job(tasks));
-    ask(host, Call::Submit { caller: caller.clone(), queue: "plans".to_owned(), id, job, wait: PATIENCE }).await
+    ask(host, Call::Submit { caller: caller.clone(), queue: "plans".to_owned(), id, job, wait: TEST_TIMEOUT }).await
 }
 
 async fn state_as(host: &Arc<Host>, caller: &Caller, id: JobId) -> Answer {
@@ -60,11 +60,11 @@
 }
 
 #[tokio::test]
-async fn a_key_opens_what_is_its_workspaces_and_nothing_else() {
-    let cell = cell();
-    cell.configure(keyed(2, &[("rail", &["one", "two"]), ("port", &["three"])]));
-    let hosts = hosts(&cell, 2).await;
-    until("the configuration", || hosts[1].config().version == 2).await;
+async fn a_key_gives_access_to_its_workspace_only() {
+    let cell = new_cell();
+    cell.configure(config_with_keys(2, &[("rail", &["one", "two"]), ("port", &["three"])]));
+    let hosts = start_hosts(&cell, 2).await;
+    wait_until("the configuration", || hosts[1].config().version == 2).await;
     for (brought, denial) in [
         (Credential::Nothing, Denial::Missing),
         (Credential::Malformed, Denial::Malformed),
@@ -76,7 +76,7 @@
     let (rail, port) = (caller(&hosts[1], "one").await, caller(&hosts[1], "three").await);
     assert_eq!(submit_as(&hosts[1], &rail, 7, 1).await, Answer::Accepted);
     assert_eq!(state_as(&hosts[1], &port, 7).await, Answer::State(None));
-    let cancel = Call::Cancel { caller: port.clone(), id: 7, wait: PATIENCE };
+    let cancel = Call::Cancel { caller: port.clone(), id: 7, wait: TEST_TIMEOUT };
     assert_eq!(ask(&hosts[0], cancel).await, Answer::Cancelled(false));
     assert_eq!(submit_as(&hosts[0], &port, 7, 1).await, Answer::IdTaken);
     let other = caller(&hosts[0], "two").await;
@@ -85,97 +85,97 @@
 }
 
 #[tokio::test]
-async fn a_key_that_is_taken_away_lets_nobody_in_through_a_host_that_is_behind() {
-    let cell = cell();
-    cell.configure(keyed(2, &[("rail", &["one", "two"])]));
-    let hosts = hosts(&cell, 2).await;
-    until("the configuration", || hosts[1].config().version == 2).await;
+async fn a_revoked_key_is_rejected_even_through_an_outdated_host() {
+    let cell = new_cell();
+    cell.configure(config_with_keys(2, &[("rail", &["one", "two"])]));
+    let hosts = start_hosts(&cell, 2).await;
+    wait_until("the configuration", || hosts[1].config().version == 2).await;
     let (old, kept) = (caller(&hosts[1], "one").await, caller(&hosts[1], "two").await);
     assert_eq!(submit_as(&hosts[1], &old, 7, 1).await, Answer::Accepted);
-    cell.configure(keyed(3, &[("rail", &["two"])]));
-    until("the leader knows", || hosts[0].config().version == 3).await;
+    cell.configure(config_with_keys(3, &[("rail", &["two"])]));
+    wait_until("the leader knows", || hosts[0].config().version == 3).await;
     // The other host admitted the caller by its older configuration.
     let denied = Answer::NotAdmitted(AccessRefusal::Denied(Denial::Unknown));
     assert_eq!(submit_as(&hosts[1], &old, 8, 1).await, denied);
     assert_eq!(state_as(&hosts[1], &old, 7).await, denied);
     let done = async || state_as(&hosts[1], &kept, 7).await;
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TEST_TIMEOUT;
     while !matches!(done().await, Answer::State(Some(State::Ended(work::Outcome::Completed)))) {
         assert!(Instant::now() < end, "what was accepted before runs all the same");
     }
 }
 
 #[tokio::test]
-async fn a_leader_that_is_behind_goes_by_what_the_asking_host_knows() {
-    let cell = cell();
-    cell.configure(keyed(2, &[("rail", &["one"])]));
-    let hosts = hosts(&cell, 2).await;
+async fn an_outdated_leader_follows_the_newer_configuration_of_the_asking_host() {
+    let cell = new_cell();
+    cell.configure(config_with_keys(2, &[("rail", &["one"])]));
+    let hosts = start_hosts(&cell, 2).await;
     let newer = Client { queue: "plans".to_owned(), key: key("new"), workspace: Some("rail".to_owned()), version: 3 };
     assert_eq!(submit_as(&hosts[0], &Caller::Client(newer), 7, 1).await, Answer::Accepted);
 }
 
 #[tokio::test]
-async fn hosts_that_the_store_turns_away_learn_the_configuration_from_others() {
-    let cell = cell();
-    let hosts = hosts(&cell, 3).await;
+async fn hosts_refused_by_the_store_get_the_configuration_from_others() {
+    let cell = new_cell();
+    let hosts = start_hosts(&cell, 3).await;
     cell.turn_away("host-1", true);
-    cell.configure(keyed(2, &[("rail", &["one"])]));
-    until("a follower learns it", || hosts[1].config().version == 2).await;
+    cell.configure(config_with_keys(2, &[("rail", &["one"])]));
+    wait_until("a follower learns it", || hosts[1].config().version == 2).await;
     cell.turn_away("host-0", true);
-    cell.configure(keyed(3, &[("rail", &["two"])]));
-    until("the leader learns it", || hosts[0].config().version == 3).await;
-    until("so does the follower", || hosts[1].config().version == 3).await;
+    cell.configure(config_with_keys(3, &[("rail", &["two"])]));
+    wait_until("the leader learns it", || hosts[0].config().version == 3).await;
+    wait_until("so does the follower", || hosts[1].config().version == 3).await;
 }
 
 #[tokio::test]
-async fn nobody_is_refused_by_a_configuration_that_may_be_old() {
-    let cell = cell();
-    cell.configure(keyed(2, &[("rail", &["one"])]));
-    let hosts = hosts(&cell, 1).await;
+async fn a_possibly_outdated_configuration_refuses_no_caller() {
+    let cell = new_cell();
+    cell.configure(config_with_keys(2, &[("rail", &["one"])]));
+    let hosts = start_hosts(&cell, 1).await;
     cell.turn_away("host-0", true);
-    until("the key is there", || hosts[0].config().version == 2).await;
-    let end = Instant::now() + PATIENCE;
+    wait_until("the key is there", || hosts[0].config().version == 2).await;
+    let end = Instant::now() + TEST_TIMEOUT;
     while refusal(&admit(&hosts[0], key("new")).await).is_some() {
         assert!(Instant::now() < end, "it goes on refusing");
     }
     assert!(matches!(admit(&hosts[0], key("one")).await, Admission::Granted(..)), "a key that it knows is let in");
-    cell.configure(keyed(3, &[("rail", &["one", "new"])]));
+    cell.configure(config_with_keys(3, &[("rail", &["one", "new"])]));
     cell.turn_away("host-0", false);
-    until("it is up to date", || hosts[0].config().version == 3).await;
+    wait_until("it is up to date", || hosts[0].config().version == 3).await;
     assert!(matches!(admit(&hosts[0], key("new")).await, Admission::Granted(..)));
 }
 
 #[tokio::test]
-async fn a_queue_that_is_public_no_longer_or_again_hides_no_job_from_its_sender() {
-    let cell = cell();
+async fn jobs_stay_visible_to_their_sender_when_a_queue_becomes_private_or_public() {
+    let cell = new_cell();
     let open = |version| Config::new(version, config(version).queues, 10_000);
     cell.configure(open(2).with_workspaces(vec![workspace("rail", &["one"])]));
-    let hosts = hosts(&cell, 1).await;
+    let hosts = start_hosts(&cell, 1).await;
     let host = &hosts[0];
-    until("the first", || host.config().version == 2).await;
+    wait_until("the first", || host.config().version == 2).await;
     let Admission::Granted(_, anybody) = admit(host, Credential::Nothing).await else { panic!("it is public") };
     assert_eq!(submit_as(host, &Caller::Client(anybody), 7, 1).await, Answer::Accepted);
-    cell.configure(keyed(3, &[("rail", &["one"]), ("port", &["two"])]));
-    until("the second", || host.config().version == 3).await;
+    cell.configure(config_with_keys(3, &[("rail", &["one"]), ("port", &["two"])]));
+    wait_until("the second", || host.config().version == 3).await;
     let rail = caller(host, "one").await;
     assert!(matches!(state_as(host, &rail, 7).await, Answer::State(Some(_))));
     assert_eq!(submit_as(host, &rail, 8, 1).await, Answer::Accepted);
     cell.configure(open(4).with_workspaces(vec![workspace("rail", &["one"]), workspace("port", &["two"])]));
-    until("the third", || host.config().version == 4).await;
+    wait_until("the third", || host.config().version == 4).await;
     assert!(matches!(state_as(host, &caller(host, "one").await, 8).await, Answer::State(Some(_))));
     assert_eq!(state_as(host, &caller(host, "two").await, 8).await, Answer::State(None));
 }
 
 #[tokio::test]
-async fn a_flood_of_made_up_keys_costs_the_store_nothing() {
-    let cell = cell();
-    cell.configure(keyed(2, &[("rail", &["one"])]));
-    let hosts = hosts(&cell, 2).await;
-    until("the configuration", || hosts[1].config().version == 2).await;
+async fn a_flood_of_invalid_keys_causes_no_store_calls() {
+    let cell = new_cell();
+    cell.configure(config_with_keys(2, &[("rail", &["one"])]));
+    let hosts = start_hosts(&cell, 2).await;
+    wait_until("the configuration", || hosts[1].config().version == 2).await;
     let rail = caller(&hosts[1], "one").await;
     let began = Instant::now();
     let before = cell.config_calls();
-    for number in 0..FLOOD {
+    for number in 0..INVALID_CALLS {
         let admission = admit(&hosts[1], key(&format!("made up {number}"))).await;
         assert_eq!(refusal(&admission), Some(AccessRefusal::Denied(Denial::Unknown)));
         if number % 1000 == 0 {
@@ -189,20 +189,25 @@
     let most = 8 * (changes + renewals + 1);
     let calls = cell.config_calls() - before;
     assert!(calls <= most, "{calls} calls, {most} at most without the flood");
-    assert!(calls < FLOOD / 10, "{calls} calls");
+    assert!(calls < INVALID_CALLS / 10, "{calls} calls");
 }
 
 #[tokio::test]
 async fn a_job_that_can_never_run_within_the_limit_is_refused_at_once() {
-    let cell = cell();
-    cell.configure(keyed(2, &[("rail", &["one"])]));
-    let hosts = hosts(&cell, 2).await;
-    until("the configuration", || hosts[0].config().version == 2 && hosts[1].config().version == 2).await;
+    let cell = new_cell();
+    cell.configure(config_with_keys(2, &[("rail", &["one"])]));
+    let hosts = start_hosts(&cell, 2).await;
+    wait_until("the configuration", || hosts[0].config().version == 2 && hosts[1].config().version == 2).await;
     let rail = caller(&hosts[1], "one").await;
     let mut gang = job(3);
     gang.steps[0].gang = true;
-    let call =
-        Call::Submit { caller: rail.clone(), queue: "plans".to_owned(), id: 7, job: Box::new(gang), wait: PATIENCE };
+    let call = Call::Submit {
+        caller: rail.clone(),
+        queue: "plans".to_owned(),
+        id: 7,
+        job: Box::new(gang),
+        wait: TEST_TIMEOUT,
+    };
     let answer = ask(&hosts[1], call).await;
     assert!(matches!(&answer, Answer::Excessive(excess) if excess.need.cpu_milli == 3000), "{answer:?}");
     assert_eq!(state_as(&hosts[1], &rail, 7).await, Answer::State(None));
@@ -213,11 +218,11 @@
 /// answers; the host that received the call forwards it to the next leader, which knows that the key is revoked, and
 /// returns that answer.
 #[tokio::test]
-async fn a_job_that_an_earlier_leader_may_have_taken_is_not_denied_by_the_next() {
-    let cell = cell();
-    cell.configure(keyed(2, &[("rail", &["one", "two"])]));
-    let hosts = hosts(&cell, 2).await;
-    until("the configuration", || hosts[1].config().version == 2).await;
+async fn a_job_possibly_accepted_by_an_earlier_leader_is_not_denied_by_the_next() {
+    let cell = new_cell();
+    cell.configure(config_with_keys(2, &[("rail", &["one", "two"])]));
+    let hosts = start_hosts(&cell, 2).await;
+    wait_until("the configuration", || hosts[1].config().version == 2).await;
     let old = caller(&hosts[1], "one").await;
     let before = cell.commits();
     cell.commit_takes(Duration::from_secs(2));
@@ -225,15 +230,15 @@
         let (host, caller) = (hosts[1].clone(), old.clone());
         async move { submit_as(&host, &caller, 7, 1).await }
     });
-    until("it is written", || cell.commits() > before).await;
-    cell.configure(keyed(3, &[("rail", &["two"])]));
-    until("both know", || hosts.iter().all(|host| host.config().version == 3)).await;
+    wait_until("it is written", || cell.commits() > before).await;
+    cell.configure(config_with_keys(3, &[("rail", &["two"])]));
+    wait_until("both know", || hosts.iter().all(|host| host.config().version == 3)).await;
     hosts[0].stop().await;
     cell.commit_takes(Duration::ZERO);
     let answer = submitted.await.expect("an answer");
     assert!(!matches!(answer, Answer::NotAdmitted(_)), "{answer:?}, and it runs");
     let done = Answer::State(Some(State::Ended(work::Outcome::Completed)));
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TEST_TIMEOUT;
     while state_as(&hosts[1], &Caller::Operator, 7).await != done {
         assert!(Instant::now() < end, "it was written, so it runs");
     }
--- a/components/entry/tests/restart.rs
+++ b/components/entry/tests/restart.rs
@@ -14,28 +14,28 @@
 use entry::Answer;
 use fakes::cell::{Cell, Conduct};
 use sched::How;
-use support::{PATIENCE, cell, ends, hosts, info, submit, until};
+use support::{TEST_TIMEOUT, new_cell, start_hosts, submit, wait_for_end, wait_until, worker_info};
 use work::Outcome;
 
 /// Limit of the platform on the starts of a task while each of its workers is lost.
-const MOST_STARTS: usize = 5;
+const MAX_STARTS: usize = 5;
 /// Number of jobs before the workers restart, and after.
 const JOBS: u64 = 6;
 
 #[tokio::test]
-async fn an_end_of_a_next_life_is_not_acknowledged_unseen() {
-    let cell = cell();
-    let hosts = hosts(&cell, 1).await;
+async fn a_run_end_after_a_restart_is_not_acknowledged_unseen() {
+    let cell = new_cell();
+    let hosts = start_hosts(&cell, 1).await;
     for id in 0..JOBS {
         assert_eq!(submit(&hosts[0], id, 1).await, Answer::Accepted);
-        assert_eq!(ends(&hosts[0], id).await, Outcome::Completed);
+        assert_eq!(wait_for_end(&hosts[0], id).await, Outcome::Completed);
     }
     let acknowledged = |id| cell.worker(id, |worker| worker.ended.is_empty()) == Some(true);
-    until("all ends are acknowledged", || acknowledged("w0") && acknowledged("w1")).await;
-    (0..2).for_each(|number| cell.add_worker(&format!("w{number}"), info(number)));
+    wait_until("all ends are acknowledged", || acknowledged("w0") && acknowledged("w1")).await;
+    (0..2).for_each(|number| cell.add_worker(&format!("w{number}"), worker_info(number)));
     for id in JOBS..2 * JOBS {
         assert_eq!(submit(&hosts[0], id, 1).await, Answer::Accepted);
-        assert_eq!(ends(&hosts[0], id).await, Outcome::Completed);
+        assert_eq!(wait_for_end(&hosts[0], id).await, Outcome::Completed);
     }
     assert_eq!(cell.starts().len() as u64, 2 * JOBS, "each task is done once");
 }
@@ -43,27 +43,27 @@
 /// If the platform reports when a worker started, a run that was lost with its worker counts against its task, and
 /// the leader waits for a run that the next incarnation may still have.
 #[tokio::test]
-async fn a_worker_that_is_born_again_is_another_one() {
-    let cell = cell();
-    (0..2).for_each(|number| bear(&cell, number, 1000));
-    let hosts = hosts(&cell, 1).await;
-    cell.conduct(Conduct { takes: PATIENCE, how: How::Done });
+async fn a_worker_with_a_new_start_time_is_another_incarnation() {
+    let cell = new_cell();
+    (0..2).for_each(|number| add_incarnation(&cell, number, 1000));
+    let hosts = start_hosts(&cell, 1).await;
+    cell.conduct(Conduct { takes: TEST_TIMEOUT, how: How::Done });
     assert_eq!(submit(&hosts[0], 7, 1).await, Answer::Accepted);
-    let bearing = async {
-        for starts in 1..=MOST_STARTS {
-            until("it is started", || cell.starts().len() >= starts).await;
-            (0..2).for_each(|number| bear(&cell, number, 1000 + starts as u64));
+    let restarts = async {
+        for starts in 1..=MAX_STARTS {
+            wait_until("it is started", || cell.starts().len() >= starts).await;
+            (0..2).for_each(|number| add_incarnation(&cell, number, 1000 + starts as u64));
         }
     };
     let outcome = tokio::select! {
-        outcome = ends(&hosts[0], 7) => outcome,
-        () = async { bearing.await; std::future::pending().await } => unreachable!("it waits for ever"),
+        outcome = wait_for_end(&hosts[0], 7) => outcome,
+        () = async { restarts.await; std::future::pending().await } => unreachable!("the restarts never return"),
     };
-    assert_eq!(outcome, Outcome::Failed, "workers have ended under it");
-    assert!(cell.starts().len() <= MOST_STARTS);
+    assert_eq!(outcome, Outcome::Failed, "its workers were lost while they ran it");
+    assert!(cell.starts().len() <= MAX_STARTS);
 }
 
 /// Adds worker `number`, or its next incarnation, started at `birth`.
-fn bear(cell: &Cell, number: usize, birth: u64) {
-    cell.add_life(&format!("w{number}"), info(number), Some(birth));
+fn add_incarnation(cell: &Cell, number: usize, started_at: u64) {
+    cell.add_life(&format!("w{number}"), worker_info(number), Some(started_at));
 }
--- a/components/entry/tests/support/mod.rs
+++ b/components/entry/tests/support/mod.rs
@@ -13,9 +13,9 @@
 use work::{Config, Job, JobId, Outcome, Queue, State, Step};
 
 /// Reached only by failing tests.
-pub const PATIENCE: Duration = Duration::from_secs(40);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(40);
 /// Interval between two checks of a condition.
-pub const PAUSE: Duration = Duration::from_millis(10);
+pub const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 pub fn config(version: u64) -> Config {
     let queue = Queue {
@@ -33,14 +33,14 @@
     Config::new(version, vec![queue], 10_000)
 }
 
-pub fn cell() -> Arc<Cell> {
+pub fn new_cell() -> Arc<Cell> {
     let cell = Cell::new(config(1));
-    (0..2).for_each(|number| cell.add_worker(&format!("w{number}"), info(number)));
+    (0..2).for_each(|number| cell.add_worker(&format!("w{number}"), worker_info(number)));
     cell
 }
 
 /// Attributes of worker `number`.
-pub fn info(number: usize) -> Info {
+pub fn worker_info(number: usize) -> Info {
     Info {
         address: format!("10.0.0.{number}:80"),
         pool: "pool".to_owned(),
@@ -57,11 +57,11 @@
     Job { specification: "text".to_owned(), steps: vec![step], schedule: None }
 }
 
-pub async fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+pub async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+    let end = Instant::now() + TEST_TIMEOUT;
     while !holds() {
         assert!(Instant::now() < end, "never: {what}");
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -70,7 +70,7 @@
 }
 
 pub async fn ask(host: &Arc<Host>, call: Call) -> Answer {
-    host.ask(call, Instant::now() + PATIENCE).await
+    host.ask(call, Instant::now() + TEST_TIMEOUT).await
 }
 
 pub async fn submit(host: &Arc<Host>, id: JobId, tasks: u32) -> Answer {
@@ -81,14 +81,14 @@
             queue: "plans".to_owned(),
             id,
             job: Box::new(job(tasks)),
-            wait: PATIENCE,
+            wait: TEST_TIMEOUT,
         },
     )
     .await
 }
 
-pub async fn ends(host: &Arc<Host>, id: JobId) -> Outcome {
-    let end = Instant::now() + PATIENCE;
+pub async fn wait_for_end(host: &Arc<Host>, id: JobId) -> Outcome {
+    let end = Instant::now() + TEST_TIMEOUT;
     loop {
         if let Answer::State(Some(State::Ended(outcome))) =
             ask(host, Call::State { caller: Caller::Operator, id }).await
@@ -96,16 +96,16 @@
             return outcome;
         }
         assert!(Instant::now() < end, "the job never ends");
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
 /// Starts hosts one by one, so that the first one leads.
-pub async fn hosts(cell: &Arc<Cell>, count: usize) -> Vec<Arc<Host>> {
+pub async fn start_hosts(cell: &Arc<Cell>, count: usize) -> Vec<Arc<Host>> {
     let mut hosts: Vec<Arc<Host>> = Vec::new();
     for number in 0..count {
         let host = cell.host(&format!("host-{number}")).await.expect("a free port");
-        until("ready", || host.ready()).await;
+        wait_until("ready", || host.ready()).await;
         hosts.push(host);
     }
     assert!(leads(&hosts[0]));
