--- a/components/entry/src/leadership.rs
+++ b/components/entry/src/leadership.rs
@@ -263,7 +263,7 @@
 
     /// Whether orders may be sent to workers.
     pub(crate) fn authorized(&self) -> bool {
-        !self.has_ended() && self.unconfirmed_for() < sched::AUTHORITY
+        !self.has_ended() && self.unconfirmed_for() < sched::AUTHORITY_TIMEOUT
     }
 
     pub(crate) fn has_ended(&self) -> bool {
@@ -284,7 +284,7 @@
     /// Writes all pending records, so that the next leader finds them.
     pub(crate) async fn flush(&self) {
         let flushed = async {
-            while self.engine.lock().owes() {
+            while self.engine.lock().has_pending_records() {
                 self.write.notify_one();
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
--- a/components/entry/src/leadership/accept.rs
+++ b/components/entry/src/leadership/accept.rs
@@ -46,7 +46,7 @@
     /// never run.
     fn rejection(&self, scope: &Scope, id: JobId, job: &Job) -> Option<Answer> {
         let mut engine = self.engine.lock();
-        if engine.keeps(id) {
+        if engine.has_job(id) {
             return (!scope.allows(engine.workspace(id))).then_some(Answer::IdTaken);
         }
         let Scope::Only(Some(workspace)) = scope else { return None };
@@ -75,7 +75,7 @@
             return refusal;
         }
         let objective = self.engine.lock().objective(&queue, &job);
-        if self.store_unavailable() && !self.engine.lock().keeps(id) {
+        if self.store_unavailable() && !self.engine.lock().has_job(id) {
             return self.refuse(id, objective);
         }
         let owner = scope.owner(queue);
@@ -95,7 +95,7 @@
             }
         }
         // Another caller with the same id may have given up and withdrawn the job.
-        match self.engine.lock().keeps(id) {
+        match self.engine.lock().has_job(id) {
             true => Answer::Accepted,
             false => Answer::Refused(retry_after(objective)),
         }
--- a/components/entry/src/leadership/advice.rs
+++ b/components/entry/src/leadership/advice.rs
@@ -151,11 +151,11 @@
         Some(healthy) => {
             let until = now + question.validity;
             let tickets = healthy.into_iter().map(|(worker, text)| (worker, Ticket { text, until })).collect();
-            leadership.engine.lock().advised(question.unit, &question.workers, tickets);
+            leadership.engine.lock().advice_received(question.unit, &question.workers, tickets);
         }
         None => {
             tokio::time::sleep(RETRY_DELAY).await;
-            leadership.engine.lock().unadvised(question.unit, &question.workers);
+            leadership.engine.lock().advice_failed(question.unit, &question.workers);
         }
     }
     leadership.advice_queue.release(asker.name());
--- a/components/entry/src/leadership/commit.rs
+++ b/components/entry/src/leadership/commit.rs
@@ -104,12 +104,14 @@
 
 impl Writer {
     fn pacing(&self) -> (u32, Duration) {
-        pacing(self.leadership.write_latency.lock().usual().unwrap_or_default())
+        pacing(self.leadership.write_latency.lock().smoothed().unwrap_or_default())
     }
 
     /// Waits until records are pending and another transaction may be sent.
     async fn wait(&self, in_flight: usize) {
-        while !self.leadership.engine.lock().owes() && !self.leadership.write_leader_record.load(Ordering::Acquire) {
+        while !self.leadership.engine.lock().has_pending_records()
+            && !self.leadership.write_leader_record.load(Ordering::Acquire)
+        {
             self.leadership.write.notified().await;
         }
         if in_flight >= self.pacing().0 as usize {
@@ -182,7 +184,7 @@
 /// Sends a transaction until its outcome is known. Returns `None` if this host no longer leads.
 async fn commit_batch(leadership: &Arc<Leadership>, batch: &Batch) -> Option<Committed> {
     let began = leadership.host.started.elapsed();
-    let usual = leadership.write_latency.lock().patience(MIN_RESEND_TIMEOUT, MAX_FIRST_TIMEOUT);
+    let usual = leadership.write_latency.lock().timeout(MIN_RESEND_TIMEOUT, MAX_FIRST_TIMEOUT);
     let mut timeout = usual;
     let mut resend_at = Instant::now() + usual;
     let mut tries = FuturesUnordered::new();
--- a/components/entry/src/leadership/loops.rs
+++ b/components/entry/src/leadership/loops.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use events::emit;
-use sched::{Ended, Engine, Info, Passing, Stall};
+use sched::{EndedWorker, Engine, Stall, WorkerEndReason, WorkerInfo};
 use tokio::task::JoinHandle;
 use work::{Evidence, WorkerId};
 
@@ -54,17 +54,17 @@
             engine.plan(clock);
             if clock.now.saturating_sub(forgotten) > FORGET_INTERVAL {
                 forgotten = clock.now;
-                engine.forget(clock.now);
+                engine.forget_ended_jobs(clock.now);
             }
             let mut stalls = Vec::new();
             if clock.now.saturating_sub(checked) > STALL_CHECK_INTERVAL {
                 checked = clock.now;
                 stalls = engine.stalls(clock);
-                leadership.host.metrics.stalled_jobs.set(engine.stalled() as i64);
+                leadership.host.metrics.stalled_jobs.set(engine.stalled_count() as i64);
             }
             leadership.set_busy_pause(engine.busy_pause());
             update_metrics(&leadership, &engine);
-            (engine.take_actions(), engine.take_made_room(), engine.take_ended_workers(), stalls)
+            (engine.take_actions(), engine.take_preemptions(), engine.take_ended_workers(), stalls)
         };
         for made in made_room {
             emit!(leadership.host.log, events::ROOM_MADE, "unit" => made.unit.to_string(), "worker" => made.worker,
@@ -73,7 +73,7 @@
         ended_workers.iter().for_each(|ended| report_loss(&leadership, ended));
         stalls.iter().for_each(|stall| report_stall(&leadership, stall));
         actions.into_iter().for_each(|action| orders::carry_out(&leadership, action));
-        if leadership.engine.lock().owes() {
+        if leadership.engine.lock().has_pending_records() {
             leadership.write.notify_one();
         }
         let took = leadership.host.started.elapsed() - clock.now;
@@ -83,26 +83,26 @@
 
 /// Logs the runs lost with a worker. From a job's id, these lines lead to the workers that were lost while running
 /// its tasks, and from a worker to what had just started there.
-fn report_loss(leadership: &Leadership, ended: &Ended) {
+fn report_loss(leadership: &Leadership, ended: &EndedWorker) {
     let metrics = &leadership.host.metrics;
-    metrics.worker_ends.get_or_create(&metrics::Outcome { outcome: ended.passing.name() }).inc();
-    if ended.next.is_some() || ended.passing == Passing::Restarted {
+    metrics.worker_ends.get_or_create(&metrics::Outcome { outcome: ended.reason.name() }).inc();
+    if ended.next.is_some() || ended.reason == WorkerEndReason::Restarted {
         emit!(leadership.host.log, events::WORKER_RESTARTED, "worker" => &ended.worker,
-            "next" => ended.next.as_ref().unwrap_or(&ended.worker), "learnt" => ended.passing.name(),
+            "next" => ended.next.as_ref().unwrap_or(&ended.worker), "learnt" => ended.reason.name(),
             "silent_ms" => ended.silent.as_millis() as u64, "runs" => ended.runs.len(), "term" => leadership.term);
         metrics.worker_restarts.inc();
     }
-    if ended.passing != Passing::Restarted {
-        emit!(leadership.host.log, events::WORKER_GONE, "worker" => &ended.worker, "learnt" => ended.passing.name(),
+    if ended.reason != WorkerEndReason::Restarted {
+        emit!(leadership.host.log, events::WORKER_GONE, "worker" => &ended.worker, "learnt" => ended.reason.name(),
             "silent_ms" => ended.silent.as_millis() as u64, "runs" => ended.runs.len(), "term" => leadership.term);
     }
-    let new = ended.runs.iter().filter(|lost| !lost.shown).count();
+    let new = ended.runs.iter().filter(|lost| !lost.seen_running).count();
     for lost in &ended.runs {
-        let outcome = if lost.shown { "shown" } else { "new" };
+        let outcome = if lost.seen_running { "shown" } else { "new" };
         metrics.lost_runs.get_or_create(&metrics::Outcome { outcome }).inc();
         emit!(leadership.host.log, events::RUN_LOST, "task" => lost.task.to_string(), "attempt" => lost.attempt,
-            "worker" => &ended.worker, "learnt" => ended.passing.name(), "silent_ms" => ended.silent.as_millis() as u64,
-            "draining" => ended.draining, "age_ms" => lost.age.as_millis() as u64, "shown" => lost.shown,
+            "worker" => &ended.worker, "learnt" => ended.reason.name(), "silent_ms" => ended.silent.as_millis() as u64,
+            "draining" => ended.draining, "age_ms" => lost.age.as_millis() as u64, "shown" => lost.seen_running,
             "confirmed" => lost.confirmed, "runs" => ended.runs.len(), "new" => new,
             "evidence" => lost.evidence.map_or("none", Evidence::name), "ends" => lost.ends, "given_up" => lost.given_up,
             "term" => leadership.term);
@@ -128,7 +128,7 @@
 }
 
 /// Result of reading the list of workers.
-pub(crate) type WorkerList = Result<BTreeMap<WorkerId, Info>, ServiceError>;
+pub(crate) type WorkerList = Result<BTreeMap<WorkerId, WorkerInfo>, ServiceError>;
 
 /// Starts reading the list of workers.
 pub(crate) fn read_worker_list(host: &Host) -> JoinHandle<WorkerList> {
@@ -155,7 +155,7 @@
             let pause = LIST_PAUSE_PER_WORKER * workers.len() as u32;
             outage.succeeded(&leadership.host.log);
             leadership.note_store_answer();
-            leadership.engine.lock().list(leadership.host.clock(), workers);
+            leadership.engine.lock().update_workers(leadership.host.clock(), workers);
             renewal::start_missing(leadership);
             leadership.write.notify_one();
             leadership.plan.notify_one();
--- a/components/entry/src/leadership/orders.rs
+++ b/components/entry/src/leadership/orders.rs
@@ -47,7 +47,7 @@
         "worker" => &worker, "outcome" => format!("{outcome:?}"), "term" => leadership.term);
     leadership.host.metrics.starts.get_or_create(&metrics::Outcome { outcome: outcome.name() }).inc();
     let clock = leadership.host.clock();
-    leadership.engine.lock().ordered(clock, &worker, start.task, start.attempt, outcome);
+    leadership.engine.lock().start_answered(clock, &worker, start.task, start.attempt, outcome);
     if let Some(renewal) = leadership.worker_handles.lock().get(&worker) {
         renewal.wake.notify_one();
     }
@@ -61,25 +61,25 @@
     // The semaphore is never closed.
     let Ok(_permit) = orders.acquire().await else { return OrderOutcome::Refused };
     // The run may have been dropped while waiting for other orders.
-    if !leadership.engine.lock().starting(worker, start.task, start.attempt) {
+    if !leadership.engine.lock().is_start_wanted(worker, start.task, start.attempt) {
         return OrderOutcome::Refused;
     }
     let now = leadership.host.started.elapsed();
-    let until = lease.lock().end(now, leadership.host.settings.limits.lease);
+    let until = lease.lock().expiry(now, leadership.host.settings.limits.lease);
     let Some(until) = until else { return OrderOutcome::Refused };
     if !leadership.authorized() {
         return OrderOutcome::Refused;
     }
-    let timeout = leadership.order_latency.lock().patience(MIN_START_TIMEOUT, MAX_START_TIMEOUT);
+    let timeout = leadership.order_latency.lock().timeout(MIN_START_TIMEOUT, MAX_START_TIMEOUT);
     let order = Order { term: leadership.term, until, start };
     let outcome = leadership.host.services.workers.start(&target, &order, timeout).await;
     match &outcome {
         Ok(_) => leadership.order_latency.lock().observe(leadership.host.started.elapsed() - now),
-        Err(ServiceError::Unknown(_)) => leadership.order_latency.lock().miss(),
+        Err(ServiceError::Unknown(_)) => leadership.order_latency.lock().record_timeout(),
         Err(ServiceError::NotDone(_) | ServiceError::Malformed(_)) => {}
     }
     if !matches!(outcome, Err(ServiceError::NotDone(_))) {
-        lease.lock().gave(until);
+        lease.lock().grant(until);
     }
     match outcome {
         Ok(Reply::Done(())) => OrderOutcome::Started,
@@ -105,7 +105,7 @@
             Ok(Reply::Done(())) => {
                 emit!(leadership.host.log, events::RUN_STOPPED, "task" => task.to_string(), "attempt" => attempt,
                     "worker" => &worker, "term" => leadership.term);
-                leadership.engine.lock().stopped(&worker, task, attempt);
+                leadership.engine.lock().stop_accepted(&worker, task, attempt);
                 leadership.plan.notify_one();
                 return;
             }
--- a/components/entry/src/leadership/renewal.rs
+++ b/components/entry/src/leadership/renewal.rs
@@ -6,7 +6,7 @@
 use events::emit;
 use parking_lot::Mutex;
 use rand::Rng;
-use sched::{Lease, Report, USUAL_PAUSE};
+use sched::{Lease, RENEWAL_INTERVAL, Report};
 use tokio::sync::{Notify, Semaphore, SemaphorePermit};
 use tokio::task::AbortHandle;
 use work::WorkerIncarnation;
@@ -57,8 +57,8 @@
 /// start.
 pub(crate) fn start_missing(leadership: &Arc<Leadership>) {
     let mut worker_handles = leadership.worker_handles.lock();
-    let uncalled = leadership.engine.lock().uncalled(|id| worker_handles.contains_key(id));
-    for (id, address) in uncalled {
+    let to_contact = leadership.engine.lock().workers_to_contact(|id| worker_handles.contains_key(id));
+    for (id, address) in to_contact {
         let target = Target { id: id.clone(), address };
         let lease = Arc::new(Mutex::new(Lease::default()));
         let wake = Arc::new(Notify::new());
@@ -122,7 +122,7 @@
         let engine = self.leadership.engine.lock();
         let pause = engine.idle_pause();
         let owed = engine.taken(&self.target.id) > self.acknowledged;
-        (pause > USUAL_PAUSE && !self.silent && !owed && engine.idle(&self.target.id)).then_some(pause)
+        (pause > RENEWAL_INTERVAL && !self.silent && !owed && engine.is_worker_idle(&self.target.id)).then_some(pause)
     }
 
     /// Pauses while the worker is idle. The first pause has a random length; otherwise workers that were first called
@@ -227,15 +227,15 @@
     /// Sends a renewal and records the lease that it may have granted.
     async fn send(&self, acked: u64) -> Result<Reply<WorkerStatus>, ServiceError> {
         let host = &self.leadership.host;
-        let until = self.lease.lock().end(host.started.elapsed(), host.settings.limits.lease);
+        let until = self.lease.lock().expiry(host.started.elapsed(), host.settings.limits.lease);
         let may_wait = until.is_some() && !self.silent && self.idle_pause().is_none();
-        let wait = if may_wait { USUAL_PAUSE.max(self.leadership.busy_pause()) } else { Duration::ZERO };
+        let wait = if may_wait { RENEWAL_INTERVAL.max(self.leadership.busy_pause()) } else { Duration::ZERO };
         let renewal = Renewal { term: self.leadership.term, until, acked, wait };
         let outcome = host.services.workers.renew(&self.target, &renewal).await;
         if let Some(until) = until
             && !matches!(outcome, Err(ServiceError::NotDone(_)))
         {
-            self.lease.lock().gave(until);
+            self.lease.lock().grant(until);
         }
         outcome
     }
@@ -248,8 +248,12 @@
         }
         self.lapsed = false;
         let known = self.leadership.claim.lock().last_leader.is_some();
-        let follows = self.leadership.engine.lock().follows(&self.target.id);
-        self.lease.lock().read(clock, host.started.elapsed(), host.settings.limits.inherited(known && !follows));
+        let follows = self.leadership.engine.lock().follows_earlier_incarnation(&self.target.id);
+        self.lease.lock().observe_clock(
+            clock,
+            host.started.elapsed(),
+            host.settings.limits.predecessor_lease(known && !follows),
+        );
     }
 
     /// Whether another incarnation of the worker answers. An order names only the worker and reaches whichever
@@ -266,7 +270,7 @@
         let host = &self.leadership.host;
         emit!(host.log, events::WORKER_REPLACED, "worker" => id, "address" => &self.target.address);
         let next = born.map(|born| WorkerIncarnation { born: Some(born), ..WorkerIncarnation::from_id(id) }.id());
-        self.leadership.engine.lock().superseded(host.clock(), id, next);
+        self.leadership.engine.lock().worker_replaced(host.clock(), id, next);
         self.leadership.worker_handles.lock().remove(id);
         start_missing(&self.leadership);
         self.leadership.write.notify_one();
@@ -280,10 +284,10 @@
         if !std::mem::replace(&mut self.silent, true) {
             emit!(host.log, events::WORKER_SILENT, "worker" => id, "fault" => error.to_string());
         }
-        let lapsed = self.lease.lock().lapsed(host.started.elapsed());
+        let lapsed = self.lease.lock().is_expired(host.started.elapsed());
         if lapsed && !std::mem::replace(&mut self.lapsed, true) {
             emit!(host.log, events::WORKER_LAPSED, "worker" => id);
-            self.leadership.engine.lock().lapsed(host.clock(), id);
+            self.leadership.engine.lock().leases_expired(host.clock(), id);
             self.leadership.plan.notify_one();
         }
     }
--- a/components/entry/src/services.rs
+++ b/components/entry/src/services.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use sched::{End, Info, Running, Start};
+use sched::{End, Running, Start, WorkerInfo};
 use thiserror::Error;
 use work::{Attempt, Config, Task, Term, Unit, WorkerId};
 
@@ -110,7 +110,7 @@
     /// Waits until the configuration may have changed after `revision`; see [`Store::watch`].
     async fn watch_config(&self, revision: u64, wait: Duration) -> Result<WatchResult, ServiceError>;
     /// Reads the list of workers.
-    async fn workers(&self) -> Result<BTreeMap<WorkerId, Info>, ServiceError>;
+    async fn workers(&self) -> Result<BTreeMap<WorkerId, WorkerInfo>, ServiceError>;
 }
 
 /// A request to renew a worker's leases.
--- a/components/entry/tests/hosts.rs
+++ b/components/entry/tests/hosts.rs
@@ -7,7 +7,7 @@
 
 use entry::{Answer, Call, Caller, Host, Role};
 use fakes::cell::{Cell, Conduct};
-use sched::How;
+use sched::RunOutcome;
 use support::{
     POLL_INTERVAL, TEST_TIMEOUT, ask, config, job, leads, new_cell, start_hosts, submit, wait_for_end, wait_until,
 };
@@ -39,7 +39,7 @@
 async fn a_planned_stop_hands_leadership_over_and_loses_no_job() {
     let cell = new_cell();
     let hosts = start_hosts(&cell, 2).await;
-    cell.conduct(Conduct { takes: Duration::from_millis(400), how: How::Done });
+    cell.conduct(Conduct { takes: Duration::from_millis(400), how: RunOutcome::Done });
     assert_eq!(submit(&hosts[1], 7, 2).await, Answer::Accepted);
     wait_until("started", || cell.starts().len() == 2).await;
     hosts[0].stop().await;
@@ -120,7 +120,7 @@
     let cell = new_cell();
     let hosts = start_hosts(&cell, 1).await;
     cell.start_takes(Duration::from_millis(20));
-    cell.conduct(Conduct { takes: Duration::from_secs(600), how: How::Done });
+    cell.conduct(Conduct { takes: Duration::from_secs(600), how: RunOutcome::Done });
     assert_eq!(submit(&hosts[0], 7, 8).await, Answer::Accepted);
     wait_until("all have started", || cell.starts().len() == 8).await;
     let most = cell.most_starts_at_once();
@@ -199,7 +199,7 @@
 async fn a_cancelled_job_ends_and_its_tasks_are_stopped() {
     let cell = new_cell();
     let hosts = start_hosts(&cell, 2).await;
-    cell.conduct(Conduct { takes: Duration::from_secs(600), how: How::Done });
+    cell.conduct(Conduct { takes: Duration::from_secs(600), how: RunOutcome::Done });
     assert_eq!(submit(&hosts[1], 7, 2).await, Answer::Accepted);
     wait_until("started", || cell.starts().len() == 2).await;
     assert_eq!(
@@ -219,7 +219,7 @@
 async fn a_job_that_always_fails_ends_after_its_attempts() {
     let cell = new_cell();
     let hosts = start_hosts(&cell, 1).await;
-    cell.conduct(Conduct { takes: Duration::ZERO, how: How::Failed });
+    cell.conduct(Conduct { takes: Duration::ZERO, how: RunOutcome::Failed });
     assert_eq!(submit(&hosts[0], 7, 1).await, Answer::Accepted);
     assert_eq!(wait_for_end(&hosts[0], 7).await, Outcome::Failed);
     assert_eq!(cell.starts().len(), 3, "as often as the queue allows");
@@ -239,7 +239,7 @@
 async fn a_new_host_recovers_from_the_store_after_all_others_are_gone() {
     let cell = new_cell();
     let first = start_hosts(&cell, 1).await;
-    cell.conduct(Conduct { takes: Duration::from_millis(300), how: How::Done });
+    cell.conduct(Conduct { takes: Duration::from_millis(300), how: RunOutcome::Done });
     assert_eq!(submit(&first[0], 7, 2).await, Answer::Accepted);
     wait_until("started", || cell.starts().len() == 2).await;
     // None of its calls reach the store any more, so to other hosts it is gone.
--- a/components/entry/tests/restart.rs
+++ b/components/entry/tests/restart.rs
@@ -13,7 +13,7 @@
 
 use entry::Answer;
 use fakes::cell::{Cell, Conduct};
-use sched::How;
+use sched::RunOutcome;
 use support::{TEST_TIMEOUT, new_cell, start_hosts, submit, wait_for_end, wait_until, worker_info};
 use work::Outcome;
 
@@ -47,7 +47,7 @@
     let cell = new_cell();
     (0..2).for_each(|number| add_incarnation(&cell, number, 1000));
     let hosts = start_hosts(&cell, 1).await;
-    cell.conduct(Conduct { takes: TEST_TIMEOUT, how: How::Done });
+    cell.conduct(Conduct { takes: TEST_TIMEOUT, how: RunOutcome::Done });
     assert_eq!(submit(&hosts[0], 7, 1).await, Answer::Accepted);
     let restarts = async {
         for starts in 1..=MAX_STARTS {
--- a/components/entry/tests/takeover.rs
+++ b/components/entry/tests/takeover.rs
@@ -8,7 +8,7 @@
 use entry::{Answer, Role};
 use fakes::cell::{Cell, Conduct};
 use model::Resources;
-use sched::{How, Info};
+use sched::{RunOutcome, WorkerInfo};
 use support::{leads, new_cell, start_hosts, submit, wait_for_end, wait_until, worker_info};
 use work::{Outcome, WorkerId};
 
@@ -28,11 +28,14 @@
 async fn start_busy_cell(workers: usize) -> (Arc<Cell>, Vec<Arc<entry::Host>>) {
     let cell = Cell::new(support::config(1));
     (0..workers).for_each(|number| {
-        cell.add_worker(&format!("w{number:04}"), Info { capacity: capacity(number, workers), ..worker_info(number) })
+        cell.add_worker(
+            &format!("w{number:04}"),
+            WorkerInfo { capacity: capacity(number, workers), ..worker_info(number) },
+        )
     });
     let hosts = start_hosts(&cell, 2).await;
     wait_until("all workers are called", || cell.first_calls(1).len() == workers).await;
-    cell.conduct(Conduct { takes: Duration::from_secs(3), how: How::Done });
+    cell.conduct(Conduct { takes: Duration::from_secs(3), how: RunOutcome::Done });
     assert_eq!(submit(&hosts[1], 7, 20).await, Answer::Accepted);
     wait_until("all tasks run", || cell.starts().len() == 20).await;
     (cell, hosts)
--- a/components/sched/src/lib.rs
+++ b/components/sched/src/lib.rs
@@ -1,14 +1,14 @@
-//! The scheduler of callers' jobs: decisions without sockets and without a clock.
+//! The scheduler of jobs: a deterministic state machine without I/O and without a clock.
 //!
-//! Events go in with their time (reports of workers, outcomes of orders, accepted jobs, advice); orders, questions
-//! and records for the log come out. Nothing here waits or fails: what can't be decided now stays as it is until the
-//! next event.
+//! Inputs are events with their time (worker reports, outcomes of orders, accepted jobs, advice). Outputs are orders
+//! to workers, questions to the adviser and records for the log. Nothing blocks or fails: a decision that can't be
+//! made yet is tried again at the next event.
 
 mod advice;
 mod assemble;
-mod blame;
+mod call_order;
 mod cancel;
-mod ends;
+mod crashes;
 mod engine;
 mod entry;
 mod explain;
@@ -17,8 +17,7 @@
 mod latency;
 mod lease;
 mod limits;
-mod list;
-mod loss;
+mod lost_runs;
 mod order;
 mod place;
 mod preempt;
@@ -26,23 +25,24 @@
 mod quota;
 mod rank;
 mod records;
+mod reports;
 mod restart;
 mod restore;
 mod room;
 mod stall;
-mod turn;
 mod worker;
+mod worker_list;
 
 pub use advice::Ticket;
-pub use engine::{Action, Clock, Engine, Owner, Start, Summary, USUAL_PAUSE};
+pub use engine::{Action, Clock, Engine, Owner, RENEWAL_INTERVAL, Start, Summary};
 pub use explain::{Explanation, StepExplanation};
 pub use latency::Latency;
 pub use lease::Lease;
-pub use limits::{AUTHORITY, Limits, lease};
-pub use loss::{Ended, Lost, Passing};
+pub use limits::{AUTHORITY_TIMEOUT, Limits, lease};
+pub use lost_runs::{EndedWorker, LostRun, WorkerEndReason};
 pub use order::Outcome as OrderOutcome;
-pub use preempt::MadeRoom;
+pub use preempt::Preemption;
 pub use questions::Question;
 pub use quota::{Excess, Workspace};
 pub use stall::Stall;
-pub use worker::{End, How, Info, Report, Running};
+pub use worker::{End, Report, RunOutcome, Running, WorkerInfo};
--- a/components/sched/src/list.rs
+++ b/components/sched/src/worker_list.rs
@@ -9,33 +9,33 @@
 use work::{Record, WorkerId, WorkerIncarnation};
 
 use crate::engine::{Action, Clock, Engine};
-use crate::loss::{Ended, Passing};
-use crate::restore::unlisted;
-use crate::worker::{Info, Worker};
+use crate::lost_runs::{EndedWorker, WorkerEndReason};
+use crate::restore::unlisted_info;
+use crate::worker::{Worker, WorkerInfo};
 
 /// What an entry says of the workers that are known.
-enum Entry {
+enum ListEntry {
     /// It is that of a life that isn't known yet.
     New,
     /// It is that of this life.
-    Of(WorkerId),
+    Known(WorkerId),
     /// It is older than what is known of this life, and changes nothing.
-    Late(WorkerId),
+    Stale(WorkerId),
     /// It tells when this life was born, which wasn't known.
-    Born(WorkerId),
+    BirthLearnt(WorkerId),
 }
 
 impl Engine {
     /// Takes the platform's list of workers.
-    pub fn list(&mut self, clock: Clock, listed: BTreeMap<WorkerId, Info>) {
+    pub fn update_workers(&mut self, clock: Clock, listed: BTreeMap<WorkerId, WorkerInfo>) {
         self.superseded.retain(|id| listed.contains_key(id));
         let mut present = BTreeMap::new();
         for (id, info) in listed {
-            match self.entry(&id) {
-                Entry::New => present.insert(id, Some(info)),
-                Entry::Of(known) => present.insert(known, Some(info)),
-                Entry::Late(known) => present.insert(known, None),
-                Entry::Born(known) => {
+            match self.classify_entry(&id) {
+                ListEntry::New => present.insert(id, Some(info)),
+                ListEntry::Known(known) => present.insert(known, Some(info)),
+                ListEntry::Stale(known) => present.insert(known, None),
+                ListEntry::BirthLearnt(known) => {
                     self.rename(clock, &known, &id);
                     present.insert(id, Some(info))
                 }
@@ -45,19 +45,19 @@
     }
 
     /// What an entry under this id says of the workers that are known.
-    fn entry(&self, id: &str) -> Entry {
-        let Some(known) = self.namesake(id) else { return Entry::New };
+    fn classify_entry(&self, id: &str) -> ListEntry {
+        let Some(known) = self.latest_incarnation(id) else { return ListEntry::New };
         match (WorkerIncarnation::from_id(id).born, WorkerIncarnation::from_id(&known).born) {
-            _ if self.superseded.contains(id) => Entry::Late(known),
-            (Some(born), Some(latest)) if born < latest => Entry::Late(known),
-            (Some(born), Some(latest)) if born > latest => Entry::New,
-            (Some(_), None) => Entry::Born(known),
-            _ => Entry::Of(known),
+            _ if self.superseded.contains(id) => ListEntry::Stale(known),
+            (Some(born), Some(latest)) if born < latest => ListEntry::Stale(known),
+            (Some(born), Some(latest)) if born > latest => ListEntry::New,
+            (Some(_), None) => ListEntry::BirthLearnt(known),
+            _ => ListEntry::Known(known),
         }
     }
 
     /// The newest known life of the worker that an id names.
-    pub(crate) fn namesake(&self, id: &str) -> Option<WorkerId> {
+    pub(crate) fn latest_incarnation(&self, id: &str) -> Option<WorkerId> {
         let name = WorkerIncarnation::from_id(id).name;
         let first = WorkerIncarnation { name, born: Some(0) }.id();
         let born = self.workers.range(first..).map(|(id, _)| id);
@@ -67,37 +67,37 @@
     }
 
     /// Takes the lives that are listed now. Those without an entry of their own stay as they are.
-    fn take_list(&mut self, clock: Clock, present: BTreeMap<WorkerId, Option<Info>>) {
+    fn take_list(&mut self, clock: Clock, present: BTreeMap<WorkerId, Option<WorkerInfo>>) {
         for (id, worker) in &mut self.workers {
             match present.contains_key(id) {
-                true => worker.missing = None,
+                true => worker.unlisted_since = None,
                 false => {
-                    worker.missing.get_or_insert(clock.now);
+                    worker.unlisted_since.get_or_insert(clock.now);
                 }
             }
         }
         let followed = self.followed(&present);
         let former: BTreeSet<WorkerId> = present
             .iter()
-            .filter(|(id, info)| info.as_ref().is_some_and(|info| self.is_former(id, info)))
+            .filter(|(id, info)| info.as_ref().is_some_and(|info| self.is_former_incarnation(id, info)))
             .map(|(id, _)| id.clone())
             .collect();
         for (id, info) in present {
             let Some(info) = info.filter(|_| !former.contains(&id)) else { continue };
             // The entry of a dead worker stays until three signs of life are missed: it would be recorded and found gone with each read.
-            let follows = self.namesake(&id).is_some();
+            let follows = self.latest_incarnation(&id).is_some();
             if !self.superseded.contains(&id) && (follows || self.has_pool(&info.pool)) {
-                self.enlist(clock, id, info);
+                self.add_or_update_worker(clock, id, info);
             }
         }
-        followed.iter().for_each(|id| self.gone(clock, id, Passing::Followed));
+        followed.iter().for_each(|id| self.end_worker(clock, id, WorkerEndReason::Followed));
     }
 
     /// Lives without an entry that a later life under their name, or at their address, has followed.
     ///
     /// An entry may be missing, late or of a former life while its worker goes on: only births, which one machine's clock tells, prove which
     /// life came first. Where none is told the address itself shows by its next answer which life is there.
-    fn followed(&self, present: &BTreeMap<WorkerId, Option<Info>>) -> Vec<WorkerId> {
+    fn followed(&self, present: &BTreeMap<WorkerId, Option<WorkerInfo>>) -> Vec<WorkerId> {
         let missing: Vec<(&WorkerId, &Worker)> =
             self.workers.iter().filter(|(id, _)| !present.contains_key(*id)).collect();
         if missing.is_empty() {
@@ -120,7 +120,7 @@
     }
 
     /// Whether an entry is that of a life that was known to be over before another one was found at its address.
-    fn is_former(&self, id: &str, info: &Info) -> bool {
+    fn is_former_incarnation(&self, id: &str, info: &WorkerInfo) -> bool {
         let held = || self.workers.iter().rev().find(|(_, worker)| worker.info.address == info.address);
         self.departed.contains(id) && held().is_some_and(|(other, _)| other != id)
     }
@@ -131,11 +131,11 @@
     }
 
     /// Takes in one worker of the list.
-    fn enlist(&mut self, clock: Clock, id: WorkerId, info: Info) {
+    fn add_or_update_worker(&mut self, clock: Clock, id: WorkerId, info: WorkerInfo) {
         if let Some(worker) = self.workers.get_mut(&id) {
-            worker.missing = None;
+            worker.unlisted_since = None;
             // A worker that is leaving never stays after all.
-            let info = Info { draining: worker.info.draining || info.draining, ..info };
+            let info = WorkerInfo { draining: worker.info.draining || info.draining, ..info };
             if *worker.info != info {
                 worker.info = Arc::new(info);
                 worker.recount();
@@ -146,44 +146,44 @@
     }
 
     /// Takes in a worker that wasn't known; it gets orders once its record is written.
-    pub(crate) fn record_worker(&mut self, clock: Clock, id: WorkerId, info: Info) {
+    pub(crate) fn record_worker(&mut self, clock: Clock, id: WorkerId, info: WorkerInfo) {
         let position = self.record(Record::Worker { id: id.clone(), address: info.address.clone() });
         self.workers.insert(id, Worker::new(info, None, position, clock.now));
     }
 
     /// A worker's life is over: nothing runs there. That is held against the tasks that were there before anything of them starts again.
-    pub(crate) fn gone(&mut self, clock: Clock, id: &str, passing: Passing) {
+    pub(crate) fn end_worker(&mut self, clock: Clock, id: &str, reason: WorkerEndReason) {
         let Some(worker) = self.workers.get_mut(id) else { return };
-        let (heard, draining) = (worker.heard, worker.info.draining);
-        let silent = clock.now.saturating_sub(heard);
-        let mut runs = std::mem::take(&mut worker.left);
-        self.undoubt(&runs);
-        runs.extend(self.losses(id, heard));
-        let next = self.namesake(id).filter(|next| next != id);
-        let mut ended = Ended { worker: id.to_owned(), passing, silent, draining, runs, next: next.clone() };
-        let unsettled = self.unsettled(id);
-        self.vacate(clock, id);
-        let spent = self.hold_against(&mut ended);
+        let (last_heard, draining) = (worker.last_heard, worker.info.draining);
+        let silent = clock.now.saturating_sub(last_heard);
+        let mut runs = std::mem::take(&mut worker.possibly_lost);
+        self.remove_silent(&runs);
+        runs.extend(self.losses(id, last_heard));
+        let next = self.latest_incarnation(id).filter(|next| next != id);
+        let mut ended = EndedWorker { worker: id.to_owned(), reason, silent, draining, runs, next: next.clone() };
+        let unsettled_runs = self.unsettled_runs(id);
+        self.free_all_runs(clock, id);
+        let exhausted = self.attribute_end(&mut ended);
         self.ended_workers.push(ended);
         self.workers.remove(id);
         self.departed.insert(id.to_owned());
         if let Some(next) = &next {
-            self.hand_over(id, next, unsettled);
+            self.hand_over(id, next, unsettled_runs);
         }
         self.record(Record::Gone { id: id.to_owned() });
         self.actions.push(Action::Forget(id.to_owned()));
-        self.give_up(clock, spent);
+        self.fail_jobs(clock, exhausted);
     }
 
     /// Another life is at the worker's address; `next` is its id if it goes by the same name. That one's entry may be still to come: until
     /// then it is only held.
-    pub fn superseded(&mut self, clock: Clock, id: &str, next: Option<WorkerId>) {
+    pub fn worker_replaced(&mut self, clock: Clock, id: &str, next: Option<WorkerId>) {
         let Some(worker) = self.workers.get(id) else { return };
         let address = worker.info.address.clone();
         if let Some(next) = next.filter(|next| !self.workers.contains_key(next)) {
-            self.record_worker(clock, next, Info { address, ..unlisted() });
+            self.record_worker(clock, next, WorkerInfo { address, ..unlisted_info() });
         }
-        self.gone(clock, id, Passing::Replaced);
+        self.end_worker(clock, id, WorkerEndReason::Replaced);
         self.superseded.insert(id.to_owned());
     }
 }
