--- a/components/entry/src/config.rs
+++ b/components/entry/src/config.rs
@@ -93,22 +93,22 @@
     }
 }
 
-/// Compares this host's configuration with the leader's, as announced in its heartbeat, and transfers the newer one.
-/// If it didn't differ at the previous heartbeat (`again` is false), a host that is behind may be about to read it
-/// from the store.
+/// Compares this host's configuration with the leader's, as announced in its heartbeat. Transfers the newer one only if
+/// they already differed at the previous heartbeat (`differed_before`): until then, a host that is behind may be about
+/// to read it from the store.
 pub(crate) async fn exchange_config(
     host: &Host,
     link: &Link,
     version: u64,
     age: Duration,
     sent: Duration,
-    again: bool,
+    differed_before: bool,
 ) {
     let own = host.config().version;
     if version <= own {
         host.confirm_config(sent.saturating_sub(age));
     }
-    if version == own || !again {
+    if version == own || !differed_before {
         return;
     }
     let call = if version > own { Call::FetchConfig } else { Call::Config((*host.config()).clone()) };
--- a/components/entry/src/leadership.rs
+++ b/components/entry/src/leadership.rs
@@ -209,7 +209,8 @@
         let Some(last_leader) = last_leader else { return };
         self.predecessor_ended.store(true, Ordering::Relaxed);
         self.engine.lock().predecessor_ended(self.host.started.elapsed());
-        emit!(self.host.log, events::PREDECESSOR_ENDED, "leader" => &last_leader.host, "before" => last_leader.term, "term" => self.term,
+        emit!(self.host.log, events::PREDECESSOR_ENDED, "leader" => &last_leader.host, "before" => last_leader.term,
+            "term" => self.term,
             "after_ms" => (self.host.started.elapsed() - self.claim.lock().confirmed_at).as_millis() as u64);
     }
 
@@ -300,7 +301,8 @@
         self.step_down("planned stop");
         let lease = self.claim.lock().lease;
         if let Err(error) = self.host.services.store.revoke_lease(lease).await {
-            emit!(self.host.log, events::PLATFORM_FAILED, "call" => "revocation of the lease", "fault" => error.to_string());
+            emit!(self.host.log, events::PLATFORM_FAILED, "call" => "revocation of the lease",
+                "fault" => error.to_string());
         }
         self.host.disconnect_followers();
     }
@@ -345,7 +347,8 @@
         let config = self.host.config();
         access::authorize(&config, caller).inspect_err(|refusal| {
             emit!(self.host.log, events::CALL_NOT_ADMITTED, "why" => refusal.to_string(), "sure" => true,
-                "config" => config.version, "config_age_ms" => self.host.config_age().as_millis() as u64, "term" => self.term);
+                "config" => config.version, "config_age_ms" => self.host.config_age().as_millis() as u64,
+                "term" => self.term);
         })
     }
 
--- a/components/entry/src/leadership/commit.rs
+++ b/components/entry/src/leadership/commit.rs
@@ -84,7 +84,7 @@
         tokio::select! {
             // Results are handled in the order of sending, whichever transaction is committed first.
             Some(done) = in_flight.next() => match done {
-                Some((batch, settled)) => writer.finish(batch, settled),
+                Some((batch, committed)) => writer.finish(batch, committed),
                 None => return,
             },
             () = writer.wait(sent) => if let Some(batch) = writer.batch() {
@@ -97,9 +97,9 @@
 /// Maximum number of parts in flight and the interval between them, for the usual latency of the store. With one part
 /// at a time, a job would have to wait for the part before its own.
 fn pacing(usual: Duration) -> (u32, Duration) {
-    let most = (usual.as_secs_f64() / MIN_WRITE_INTERVAL.as_secs_f64()) as u32;
-    let most = most.clamp(1, MAX_IN_FLIGHT);
-    (most, (usual + MIN_WRITE_INTERVAL) / most)
+    let max_in_flight = (usual.as_secs_f64() / MIN_WRITE_INTERVAL.as_secs_f64()) as u32;
+    let max_in_flight = max_in_flight.clamp(1, MAX_IN_FLIGHT);
+    (max_in_flight, (usual + MIN_WRITE_INTERVAL) / max_in_flight)
 }
 
 impl Writer {
@@ -151,13 +151,13 @@
     }
 
     /// Records that a transaction and all before it are committed.
-    fn finish(&mut self, batch: Batch, settled: Committed) {
+    fn finish(&mut self, batch: Batch, committed: Committed) {
         let leadership = &self.leadership;
         if leadership.unanswered_since.lock().take().is_some() {
             emit!(leadership.host.log, events::PLATFORM_BACK, "call" => "transaction");
         }
         if batch.write_leader_record {
-            leadership.claim.lock().record_revision = settled.revision;
+            leadership.claim.lock().record_revision = committed.revision;
         }
         let part = batch.part.and_then(|id| Some((id, leadership.pending_parts.remove(id.number)?)));
         parts::update(leadership, &part, &batch.removed);
@@ -166,7 +166,7 @@
         leadership.plan.notify_one();
         if let Some((id, part)) = &part {
             self.settled = id.number + 1;
-            part.records.iter().for_each(|record| log_record(leadership, record, settled.revision));
+            part.records.iter().for_each(|record| log_record(leadership, record, committed.revision));
         }
     }
 }
@@ -176,14 +176,14 @@
     if batch.write_leader_record && !replace_lease(&leadership).await {
         leadership.write_leader_record.store(true, Ordering::Release);
     }
-    let settled = commit_batch(&leadership, &batch).await?;
-    leadership.confirm(settled.sent);
-    Some((batch, settled))
+    let committed = commit_batch(&leadership, &batch).await?;
+    leadership.confirm(committed.sent);
+    Some((batch, committed))
 }
 
 /// Sends a transaction until its outcome is known. Returns `None` if this host no longer leads.
 async fn commit_batch(leadership: &Arc<Leadership>, batch: &Batch) -> Option<Committed> {
-    let began = leadership.host.started.elapsed();
+    let started_at = leadership.host.started.elapsed();
     let usual = leadership.write_latency.lock().timeout(MIN_RESEND_TIMEOUT, MAX_FIRST_TIMEOUT);
     let mut timeout = usual;
     let mut resend_at = Instant::now() + usual;
@@ -206,8 +206,8 @@
                 // Only the leader's record is attached to a lease; it is written again separately.
                 Ok(CommitOutcome::NoLease) => {
                     leadership.write_leader_record.store(true, Ordering::Release);
-                    let bare = Batch { write_leader_record: false, ..batch.clone() };
-                    return Box::pin(commit_batch(leadership, &bare)).await;
+                    let without_record = Batch { write_leader_record: false, ..batch.clone() };
+                    return Box::pin(commit_batch(leadership, &without_record)).await;
                 }
                 Err(error) => {
                     maybe_written |= !matches!(error, ServiceError::NotDone(_));
@@ -225,8 +225,9 @@
                 "no response yet".to_owned()
             }
         };
-        if leadership.unanswered_since.lock().replace(began).is_none() {
-            emit!(leadership.host.log, events::WRITE_UNSETTLED, "fault" => error, "after_ms" => usual.as_millis() as u64);
+        if leadership.unanswered_since.lock().replace(started_at).is_none() {
+            emit!(leadership.host.log, events::WRITE_UNSETTLED, "fault" => error,
+                "after_ms" => usual.as_millis() as u64);
         }
     }
 }
@@ -256,13 +257,13 @@
     usual: Duration,
     committed: impl Future<Output = Result<CommitOutcome, ServiceError>>,
 ) -> Result<CommitOutcome, ServiceError> {
-    let heard = async {
+    let answered = async {
         leadership.wait_for_store_answer(sent).await;
         tokio::time::sleep(usual).await;
     };
     tokio::select! {
         outcome = committed => outcome,
-        () = heard => Err(ServiceError::Unknown("no response, although the store answers other calls".to_owned())),
+        () = answered => Err(ServiceError::Unknown("no response, although the store answers other calls".to_owned())),
     }
 }
 
@@ -315,10 +316,11 @@
     match record {
         Record::Accepted { id, queue, workspace, job, .. } => {
             emit!(log, events::JOB_ACCEPTED, "job" => format_job_id(*id),
-            "queue" => queue, "workspace" => workspace, "steps" => job.steps.len(),
-            "tasks" => job.steps.iter().map(|step| step.count).sum::<u32>(),
-            "largest" => job.steps.iter().map(|step| step.need).fold(Resources::ZERO, |most, need| most.max(&need)).to_string(),
-            "revision" => revision, "term" => leadership.term)
+                "queue" => queue, "workspace" => workspace, "steps" => job.steps.len(),
+                "tasks" => job.steps.iter().map(|step| step.count).sum::<u32>(),
+                "largest" => job.steps.iter().map(|step| step.need)
+                    .fold(Resources::ZERO, |most, need| most.max(&need)).to_string(),
+                "revision" => revision, "term" => leadership.term)
         }
         Record::Ended { id, outcome, .. } => {
             let summary = leadership.engine.lock().summary(*id).unwrap_or_default();
@@ -326,7 +328,8 @@
             leadership.host.metrics.job_seconds.observe(took.as_secs_f64());
             emit!(log, events::JOB_ENDED, "job" => format_job_id(*id), "outcome" => format!("{outcome:?}"),
                 "queue" => summary.queue, "took_ms" => took.as_millis() as u64,
-                "objective_ms" => summary.objective.as_millis() as u64, "revision" => revision, "term" => leadership.term);
+                "objective_ms" => summary.objective.as_millis() as u64, "revision" => revision,
+                "term" => leadership.term);
         }
         Record::Worker { id, address } => emit!(log, events::WORKER_RECORDED, "worker" => id, "address" => address),
         // Starts are logged when they are sent, run ends when workers report them, lost workers and crashes when they
--- a/components/entry/src/leadership/parts.rs
+++ b/components/entry/src/leadership/parts.rs
@@ -110,7 +110,8 @@
             Ok(CommitOutcome::Done(_)) => return Ok(()),
             Ok(CommitOutcome::Conflict(_) | CommitOutcome::NoLease) => bail!("another host has claimed leadership"),
             Err(error @ (ServiceError::NotDone(_) | ServiceError::Unknown(_) | ServiceError::Malformed(_))) => {
-                emit!(host.log, events::PLATFORM_FAILED, "call" => "deletion of log parts", "fault" => error.to_string());
+                emit!(host.log, events::PLATFORM_FAILED, "call" => "deletion of log parts",
+                    "fault" => error.to_string());
             }
         }
     }
--- a/components/entry/src/leadership/renewal.rs
+++ b/components/entry/src/leadership/renewal.rs
@@ -81,7 +81,7 @@
     /// Whether the last renewals were unanswered.
     silent: bool,
     /// Whether its leases have certainly expired since its last answer.
-    lapsed: bool,
+    expired: bool,
     has_waited_idle: bool,
 }
 
@@ -111,7 +111,7 @@
             wake,
             acknowledged: 0,
             silent: false,
-            lapsed: false,
+            expired: false,
             has_waited_idle: false,
         }
     }
@@ -121,8 +121,9 @@
     fn idle_pause(&self) -> Option<Duration> {
         let engine = self.leadership.engine.lock();
         let pause = engine.idle_pause();
-        let owed = engine.taken(&self.target.id) > self.acknowledged;
-        (pause > RENEWAL_INTERVAL && !self.silent && !owed && engine.is_worker_idle(&self.target.id)).then_some(pause)
+        let unacknowledged = engine.taken(&self.target.id) > self.acknowledged;
+        (pause > RENEWAL_INTERVAL && !self.silent && !unacknowledged && engine.is_worker_idle(&self.target.id))
+            .then_some(pause)
     }
 
     /// Pauses while the worker is idle. The first pause has a random length; otherwise workers that were first called
@@ -244,9 +245,9 @@
     fn note_answer(&mut self, clock: Duration) {
         let host = &self.leadership.host;
         if std::mem::take(&mut self.silent) {
-            emit!(host.log, events::WORKER_BACK, "worker" => &self.target.id, "lapsed" => self.lapsed);
+            emit!(host.log, events::WORKER_BACK, "worker" => &self.target.id, "lapsed" => self.expired);
         }
-        self.lapsed = false;
+        self.expired = false;
         let known = self.leadership.claim.lock().last_leader.is_some();
         let follows = self.leadership.engine.lock().follows_earlier_incarnation(&self.target.id);
         self.lease.lock().observe_clock(
@@ -284,8 +285,8 @@
         if !std::mem::replace(&mut self.silent, true) {
             emit!(host.log, events::WORKER_SILENT, "worker" => id, "fault" => error.to_string());
         }
-        let lapsed = self.lease.lock().is_expired(host.started.elapsed());
-        if lapsed && !std::mem::replace(&mut self.lapsed, true) {
+        let expired = self.lease.lock().is_expired(host.started.elapsed());
+        if expired && !std::mem::replace(&mut self.expired, true) {
             emit!(host.log, events::WORKER_LAPSED, "worker" => id);
             self.leadership.engine.lock().leases_expired(host.clock(), id);
             self.leadership.plan.notify_one();
--- a/components/entry/src/leadership/yielding.rs
+++ b/components/entry/src/leadership/yielding.rs
@@ -90,7 +90,7 @@
 
 /// Finds a follower that the store answers while it doesn't answer this host.
 async fn find_reachable_follower(leadership: &Leadership) -> Option<Follower> {
-    let began = leadership.host.started.elapsed();
+    let started_at = leadership.host.started.elapsed();
     let own = async {
         let answered = leadership.host.services.store.get(LEADER_KEY).await.is_ok();
         if answered {
@@ -104,8 +104,8 @@
         true = own.clone() => return None,
         follower = probe(strongest(leadership, None)) => follower?,
     };
-    let took = leadership.host.started.elapsed() - began;
-    let remaining = MIN_OWN_TIMEOUT.max(took * OWN_TIMEOUT_FACTOR).saturating_sub(took);
+    let follower_took = leadership.host.started.elapsed() - started_at;
+    let remaining = MIN_OWN_TIMEOUT.max(follower_took * OWN_TIMEOUT_FACTOR).saturating_sub(follower_took);
     let answered = tokio::time::timeout(remaining, own).await == Ok(true);
     // Another call may have been answered in the meantime.
     (!answered && leadership.store_silence() >= MAX_STORE_SILENCE).then_some(follower)
