--- a/components/entry/src/leadership.rs
+++ b/components/entry/src/leadership.rs
@@ -80,7 +80,7 @@
     pub(crate) write_leader_record: AtomicBool,
     /// Since when a transaction has had no known outcome.
     pub(crate) unanswered_since: Mutex<Option<Duration>>,
-    /// Minimum number of milliseconds between the renewals of busy workers; see [`Engine::busy_pause`].
+    /// Minimum number of milliseconds between the renewals of busy workers; see [`Engine::busy_renewal_interval`].
     busy_pause: AtomicU64,
     /// Whether the previous leader is known to grant no more leases.
     predecessor_ended: AtomicBool,
@@ -113,7 +113,7 @@
             parts.push(StoredPart::new(id, clock.now, &part.records));
             part.records.into_iter().for_each(|record| engine.replay(clock, record));
         }
-        engine.replayed(clock);
+        engine.finish_replay(clock);
         // An earlier process of this host must have ended.
         let own = claim.last_leader.as_ref().is_some_and(|last_leader| last_leader.address == host.settings.address);
         let ended = predecessor == Predecessor::Ended || own;
--- a/components/entry/src/leadership/commit.rs
+++ b/components/entry/src/leadership/commit.rs
@@ -161,7 +161,7 @@
         }
         let part = batch.part.and_then(|id| Some((id, leadership.pending_parts.remove(id.number)?)));
         parts::update(leadership, &part, &batch.removed);
-        leadership.engine.lock().written(leadership.host.clock(), batch.up_to);
+        leadership.engine.lock().mark_durable(leadership.host.clock(), batch.up_to);
         leadership.durable.send_replace(batch.up_to);
         leadership.plan.notify_one();
         if let Some((id, part)) = &part {
--- a/components/entry/src/leadership/loops.rs
+++ b/components/entry/src/leadership/loops.rs
@@ -62,7 +62,7 @@
                 stalls = engine.stalls(clock);
                 leadership.host.metrics.stalled_jobs.set(engine.stalled_count() as i64);
             }
-            leadership.set_busy_pause(engine.busy_pause());
+            leadership.set_busy_pause(engine.busy_renewal_interval());
             update_metrics(&leadership, &engine);
             (engine.take_actions(), engine.take_preemptions(), engine.take_ended_workers(), stalls)
         };
@@ -114,7 +114,7 @@
 fn report_stall(leadership: &Leadership, stall: &Stall) {
     emit!(leadership.host.log, events::JOB_STALLED, "unit" => stall.unit.to_string(),
         "lasted_ms" => stall.lasted.as_millis() as u64, "waiting" => stall.waiting,
-        "unlisted" => stall.unlisted, "runs" => stall.named.join(", "), "why" => &stall.why, "term" => leadership.term);
+        "unlisted" => stall.unlisted, "runs" => stall.run_names.join(", "), "why" => &stall.why, "term" => leadership.term);
 }
 
 /// Updates the metrics of the leadership.
--- a/components/entry/src/leadership/renewal.rs
+++ b/components/entry/src/leadership/renewal.rs
@@ -120,8 +120,8 @@
     /// such workers to call them all the time.
     fn idle_pause(&self) -> Option<Duration> {
         let engine = self.leadership.engine.lock();
-        let pause = engine.idle_pause();
-        let unacknowledged = engine.taken(&self.target.id) > self.acknowledged;
+        let pause = engine.idle_renewal_interval();
+        let unacknowledged = engine.last_processed_end(&self.target.id) > self.acknowledged;
         (pause > RENEWAL_INTERVAL && !self.silent && !unacknowledged && engine.is_worker_idle(&self.target.id))
             .then_some(pause)
     }
@@ -302,16 +302,16 @@
     let ended = report.ended.clone();
     let (restarted, taken) = {
         let mut engine = leadership.engine.lock();
-        let taken = engine.taken(&target.id);
+        let taken = engine.last_processed_end(&target.id);
         let restarted = engine.report(leadership.host.clock(), &target.id, report);
         (restarted, if restarted { 0 } else { taken })
     };
     // A run end is reported with every renewal until its record is written.
     let fresh = ended.iter().filter(|end| end.number > taken);
     for end in fresh {
-        leadership.host.metrics.ends.get_or_create(&metrics::Outcome { outcome: end.how.name() }).inc();
+        leadership.host.metrics.ends.get_or_create(&metrics::Outcome { outcome: end.outcome.name() }).inc();
         emit!(leadership.host.log, events::RUN_ENDED, "task" => end.task.to_string(), "attempt" => end.attempt,
-            "worker" => &target.id, "how" => format!("{:?}", end.how), "number" => end.number);
+            "worker" => &target.id, "how" => format!("{:?}", end.outcome), "number" => end.number);
     }
     // Run ends free up room, and runs taken over from an earlier leader may have to be stopped.
     leadership.plan.notify_one();
