--- a/components/entry/src/leadership.rs
+++ b/components/entry/src/leadership.rs
@@ -81,7 +81,7 @@
     /// Since when a transaction has had no known outcome.
     pub(crate) unanswered_since: Mutex<Option<Duration>>,
     /// Minimum number of milliseconds between the renewals of busy workers; see [`Engine::busy_renewal_interval`].
-    busy_pause: AtomicU64,
+    busy_renewal_interval: AtomicU64,
     /// Whether the previous leader is known to grant no more leases.
     predecessor_ended: AtomicBool,
     pub(crate) plan: Notify,
@@ -137,7 +137,7 @@
             pending_parts: PendingParts::default(),
             write_leader_record: AtomicBool::new(false),
             unanswered_since: Mutex::new(None),
-            busy_pause: AtomicU64::new(0),
+            busy_renewal_interval: AtomicU64::new(0),
             predecessor_ended: AtomicBool::new(ended),
             plan: Notify::new(),
             write: Notify::new(),
@@ -233,13 +233,13 @@
     }
 
     /// Sets the minimum time between the renewals of busy workers.
-    pub(crate) fn set_busy_pause(&self, pause: Duration) {
-        self.busy_pause.store(pause.as_millis() as u64, Ordering::Relaxed);
+    pub(crate) fn set_busy_renewal_interval(&self, pause: Duration) {
+        self.busy_renewal_interval.store(pause.as_millis() as u64, Ordering::Relaxed);
     }
 
     /// The minimum time between the renewals of busy workers, as last computed.
-    pub(crate) fn busy_pause(&self) -> Duration {
-        Duration::from_millis(self.busy_pause.load(Ordering::Relaxed))
+    pub(crate) fn busy_renewal_interval(&self) -> Duration {
+        Duration::from_millis(self.busy_renewal_interval.load(Ordering::Relaxed))
     }
 
     /// For how long the store hasn't answered this host.
--- a/components/entry/src/leadership/loops.rs
+++ b/components/entry/src/leadership/loops.rs
@@ -62,7 +62,7 @@
                 stalls = engine.stalls(clock);
                 leadership.host.metrics.stalled_jobs.set(engine.stalled_count() as i64);
             }
-            leadership.set_busy_pause(engine.busy_renewal_interval());
+            leadership.set_busy_renewal_interval(engine.busy_renewal_interval());
             update_metrics(&leadership, &engine);
             (engine.take_actions(), engine.take_preemptions(), engine.take_ended_workers(), stalls)
         };
--- a/components/entry/src/leadership/renewal.rs
+++ b/components/entry/src/leadership/renewal.rs
@@ -118,7 +118,7 @@
 
     /// Pause before the next renewal if nothing runs there, no run end is to be acknowledged, and there are too many
     /// such workers to call them all the time.
-    fn idle_pause(&self) -> Option<Duration> {
+    fn idle_renewal_interval(&self) -> Option<Duration> {
         let engine = self.leadership.engine.lock();
         let pause = engine.idle_renewal_interval();
         let unacknowledged = engine.last_processed_end(&self.target.id) > self.acknowledged;
@@ -129,7 +129,7 @@
     /// Pauses while the worker is idle. The first pause has a random length; otherwise workers that were first called
     /// together would always be called together.
     async fn wait_while_idle(&mut self) {
-        if let Some(mut pause) = self.idle_pause() {
+        if let Some(mut pause) = self.idle_renewal_interval() {
             if !std::mem::replace(&mut self.has_waited_idle, true) {
                 pause = rand::rng().random_range(Duration::ZERO..pause);
             }
@@ -229,8 +229,9 @@
     async fn send(&self, acked: u64) -> Result<Reply<WorkerStatus>, ServiceError> {
         let host = &self.leadership.host;
         let until = self.lease.lock().expiry(host.started.elapsed(), host.settings.limits.lease);
-        let may_wait = until.is_some() && !self.silent && self.idle_pause().is_none();
-        let wait = if may_wait { RENEWAL_INTERVAL.max(self.leadership.busy_pause()) } else { Duration::ZERO };
+        let may_wait = until.is_some() && !self.silent && self.idle_renewal_interval().is_none();
+        let wait =
+            if may_wait { RENEWAL_INTERVAL.max(self.leadership.busy_renewal_interval()) } else { Duration::ZERO };
         let renewal = Renewal { term: self.leadership.term, until, acked, wait };
         let outcome = host.services.workers.renew(&self.target, &renewal).await;
         if let Some(until) = until
