--- /dev/null
+++ b/components/entry/src/leadership.rs
@@ -0,0 +1,386 @@
+//! One term of leadership of this host, from its claim until it is replaced.
+
+mod accept;
+mod advice;
+mod commit;
+mod loops;
+mod orders;
+mod parts;
+mod pending;
+mod renewal;
+mod yielding;
+
+use std::collections::HashMap;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::time::Duration;
+
+use events::emit;
+use parking_lot::Mutex;
+use sched::{Engine, Latency};
+use tokio::sync::{Notify, Semaphore, watch};
+use tokio::task::{AbortHandle, JoinHandle, JoinSet};
+use work::log::PartId;
+use work::{JobId, State, Term, WorkerId};
+
+use crate::access::{self, Caller, Refusal, Scope};
+use crate::election::Predecessor;
+use crate::host::{Follower, Host};
+use crate::latest::LatestTime;
+use crate::message::{Answer, Call, Leader};
+use crate::services::LeaseId;
+use advice::AdviceQueue;
+use loops::WorkerList;
+use parts::StoredPart;
+use pending::PendingParts;
+
+/// How long after its last confirmation a leader still answers reads of states and counts.
+const MAX_UNCONFIRMED: Duration = Duration::from_millis(2200);
+/// How often to check whether the store answers again.
+const STORE_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// How long a planned stop waits for pending records.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(400);
+
+/// Result of a successful claim.
+#[derive(Clone, Debug)]
+pub(crate) struct Claim {
+    pub term: Term,
+    /// Revision of the term counter.
+    pub revision: u64,
+    pub lease: LeaseId,
+    pub leader: Leader,
+    /// The previous leader, if it is known.
+    pub last_leader: Option<Leader>,
+    pub record_revision: u64,
+    /// When the claim was sent, on the monotonic clock.
+    pub confirmed_at: Duration,
+}
+
+/// One term of leadership.
+pub struct Leadership {
+    pub term: Term,
+    pub(crate) host: Arc<Host>,
+    pub(crate) engine: Mutex<Engine>,
+    pub(crate) claim: Mutex<Claim>,
+    /// The parts of the log in the store, in order.
+    pub(crate) parts: Mutex<Vec<StoredPart>>,
+    /// Parts of earlier leaders that the first transaction deletes; see [`work::log::ClassifiedParts`].
+    pub(crate) stale: Mutex<Vec<PartId>>,
+    /// When it was last certain that no other host led.
+    confirmed_at: LatestTime,
+    /// When the store last answered, with whatever response.
+    store_answered_at: LatestTime,
+    /// Latency of transactions.
+    pub(crate) write_latency: Mutex<Latency>,
+    /// Latency of the workers' responses to orders.
+    pub(crate) order_latency: Mutex<Latency>,
+    /// Parts of the log that aren't known to be written yet.
+    pub(crate) pending_parts: PendingParts,
+    /// Whether the leader's record must be written again.
+    pub(crate) write_leader_record: AtomicBool,
+    /// Since when a transaction has had no known outcome.
+    pub(crate) unanswered_since: Mutex<Option<Duration>>,
+    /// Minimum number of milliseconds between the renewals of busy workers; see [`Engine::busy_renewal_interval`].
+    busy_renewal_interval: AtomicU64,
+    /// Whether the previous leader is known to grant no more leases.
+    predecessor_ended: AtomicBool,
+    pub(crate) plan: Notify,
+    pub(crate) write: Notify,
+    pub(crate) durable: watch::Sender<u64>,
+    pub(crate) ended: watch::Sender<bool>,
+    pub(crate) worker_handles: Mutex<HashMap<WorkerId, renewal::WorkerHandle>>,
+    /// Permits for the first calls to workers.
+    first_call_permits: Arc<Semaphore>,
+    pub(crate) advice_queue: AdviceQueue,
+    loops: Mutex<Vec<AbortHandle>>,
+}
+
+impl Leadership {
+    /// Starts to lead: rebuilds the scheduler's state from the log.
+    pub(crate) async fn begin(
+        host: Arc<Host>,
+        claim: Claim,
+        predecessor: Predecessor,
+    ) -> anyhow::Result<Arc<Leadership>> {
+        // Read concurrently: a list of thousands of workers takes as long to read as the log, and nothing can start
+        // without it.
+        let worker_list = loops::read_worker_list(&host);
+        let found = parts::load(&host, &claim).await?;
+        let clock = host.clock();
+        let mut engine = Engine::new(host.settings.limits, claim.term, host.config(), clock.now);
+        let mut parts = Vec::new();
+        for (id, part) in found.log {
+            parts.push(StoredPart::new(id, clock.now, &part.records));
+            part.records.into_iter().for_each(|record| engine.replay(clock, record));
+        }
+        engine.finish_replay(clock);
+        // An earlier process of this host must have ended.
+        let own = claim.last_leader.as_ref().is_some_and(|last_leader| last_leader.address == host.settings.address);
+        let ended = predecessor == Predecessor::Ended || own;
+        match &claim.last_leader {
+            None => engine.predecessor_unknown(),
+            Some(_) if ended => engine.predecessor_ended(clock.now),
+            Some(_) => {}
+        }
+        emit!(host.log, events::RECOVERED, "term" => claim.term, "parts" => parts.len(),
+            "took_ms" => (host.started.elapsed() - claim.confirmed_at).as_millis() as u64);
+        let leadership = Arc::new(Leadership {
+            term: claim.term,
+            engine: Mutex::new(engine),
+            confirmed_at: LatestTime::new(claim.confirmed_at),
+            store_answered_at: LatestTime::new(clock.now),
+            claim: Mutex::new(claim),
+            parts: Mutex::new(parts),
+            stale: Mutex::new(found.stale),
+            write_latency: Mutex::new(Latency::default()),
+            order_latency: Mutex::new(Latency::default()),
+            pending_parts: PendingParts::default(),
+            write_leader_record: AtomicBool::new(false),
+            unanswered_since: Mutex::new(None),
+            busy_renewal_interval: AtomicU64::new(0),
+            predecessor_ended: AtomicBool::new(ended),
+            plan: Notify::new(),
+            write: Notify::new(),
+            durable: watch::Sender::new(0),
+            ended: watch::Sender::new(false),
+            worker_handles: Mutex::new(HashMap::new()),
+            first_call_permits: renewal::first_call_permits(),
+            advice_queue: AdviceQueue::default(),
+            loops: Mutex::new(Vec::new()),
+            host,
+        });
+        leadership.clone().start(worker_list);
+        Ok(leadership)
+    }
+
+    fn start(self: Arc<Leadership>, worker_list: JoinHandle<WorkerList>) {
+        let mut loops = JoinSet::new();
+        let handles = vec![
+            loops.spawn(commit::run(self.clone())),
+            loops.spawn(loops::plan(self.clone())),
+            loops.spawn(loops::list_workers(self.clone(), worker_list)),
+            loops.spawn(loops::renew_lease(self.clone())),
+            loops.spawn(loops::follow_config(self.clone())),
+            loops.spawn(yielding::run(self.clone())),
+            loops.spawn(advice::run(self.clone())),
+        ];
+        *self.loops.lock() = handles;
+        // Workers that are named in the log needn't wait for the list.
+        renewal::start_missing(&self);
+        tokio::spawn(self.watch_loops(loops));
+    }
+
+    /// Ends the leadership if one of its loops panics. Otherwise it would keep its lease without scheduling or
+    /// reading the list of workers, and no host would see a reason to replace it.
+    async fn watch_loops(self: Arc<Leadership>, mut loops: JoinSet<()>) {
+        while let Some(ended) = loops.join_next().await {
+            if ended.is_err_and(|error| error.is_panic()) {
+                emit!(self.host.log, events::LOOP_FAILED, "term" => self.term);
+                self.step_down("a background loop of the leader panicked");
+                self.host.leadership_ended(self.term);
+            }
+        }
+    }
+
+    /// Whether the previous leader is known to grant no more leases.
+    pub fn predecessor_ended(&self) -> bool {
+        self.predecessor_ended.load(Ordering::Relaxed)
+    }
+
+    /// Looks for the previous leader among the followers. A process at its address that follows this leader is either
+    /// the previous leader itself, which no longer leads, or a later process. Runs on lost workers are then restarted
+    /// sooner, since the time for which the previous leader could have continued needn't be waited for.
+    pub(crate) fn look_for_predecessor(&self) {
+        if self.predecessor_ended() {
+            return;
+        }
+        let is_later_process = |follower: &Follower, last_leader: &Leader| {
+            follower.idle && follower.term == self.term && follower.address == last_leader.address
+        };
+        let last_leader = {
+            let followers = self.host.followers.lock();
+            let claim = self.claim.lock();
+            claim
+                .last_leader
+                .as_ref()
+                .filter(|last_leader| followers.values().any(|follower| is_later_process(follower, last_leader)))
+                .cloned()
+        };
+        let Some(last_leader) = last_leader else { return };
+        self.predecessor_ended.store(true, Ordering::Relaxed);
+        self.engine.lock().predecessor_ended(self.host.started.elapsed());
+        emit!(self.host.log, events::PREDECESSOR_ENDED, "leader" => &last_leader.host, "before" => last_leader.term,
+            "term" => self.term,
+            "after_ms" => (self.host.started.elapsed() - self.claim.lock().confirmed_at).as_millis() as u64);
+    }
+
+    /// Records that no other host led at this time.
+    pub(crate) fn confirm(&self, at: Duration) {
+        self.confirmed_at.advance(at);
+        self.note_store_answer();
+    }
+
+    /// Records that the store answered this host.
+    pub(crate) fn note_store_answer(&self) {
+        self.store_answered_at.advance(self.host.started.elapsed());
+    }
+
+    /// Waits until the store has answered a call since `sent`.
+    pub(crate) async fn wait_for_store_answer(&self, sent: Duration) {
+        while self.host.started.elapsed().saturating_sub(self.store_silence()) <= sent {
+            tokio::time::sleep(STORE_POLL_INTERVAL).await;
+        }
+    }
+
+    /// Sets the minimum time between the renewals of busy workers.
+    pub(crate) fn set_busy_renewal_interval(&self, pause: Duration) {
+        self.busy_renewal_interval.store(pause.as_millis() as u64, Ordering::Relaxed);
+    }
+
+    /// The minimum time between the renewals of busy workers, as last computed.
+    pub(crate) fn busy_renewal_interval(&self) -> Duration {
+        Duration::from_millis(self.busy_renewal_interval.load(Ordering::Relaxed))
+    }
+
+    /// For how long the store hasn't answered this host.
+    pub(crate) fn store_silence(&self) -> Duration {
+        self.store_answered_at.age(self.host.started.elapsed())
+    }
+
+    /// Time since it was last certain that no other host led.
+    pub(crate) fn unconfirmed_for(&self) -> Duration {
+        self.confirmed_at.age(self.host.started.elapsed())
+    }
+
+    /// Whether this host is certain enough to lead to answer callers' reads.
+    pub(crate) fn is_confirmed(&self) -> bool {
+        !self.has_ended() && self.unconfirmed_for() < MAX_UNCONFIRMED
+    }
+
+    /// Whether the lease of the leader's record can't have expired yet.
+    pub(crate) fn holds_lease(&self) -> bool {
+        !self.has_ended() && self.unconfirmed_for() < self.host.settings.lease_ttl
+    }
+
+    /// Whether orders may be sent to workers.
+    pub(crate) fn authorized(&self) -> bool {
+        !self.has_ended() && self.unconfirmed_for() < sched::AUTHORITY_TIMEOUT
+    }
+
+    pub(crate) fn has_ended(&self) -> bool {
+        *self.ended.borrow()
+    }
+
+    /// Ends the leadership; `why` is the reason in the log.
+    pub(crate) fn step_down(&self, why: &'static str) {
+        if self.ended.send_replace(true) {
+            return;
+        }
+        self.host.claimed_term.store(0, Ordering::Release);
+        emit!(self.host.log, events::DEPOSED, "term" => self.term, "why" => why);
+        self.loops.lock().drain(..).for_each(|handle| handle.abort());
+        self.worker_handles.lock().drain().for_each(|(_, handle)| handle.abort());
+    }
+
+    /// Writes all pending records, so that the next leader finds them.
+    pub(crate) async fn flush(&self) {
+        let flushed = async {
+            while self.engine.lock().has_pending_records() {
+                self.write.notify_one();
+                tokio::time::sleep(Duration::from_millis(5)).await;
+            }
+        };
+        if tokio::time::timeout(FLUSH_TIMEOUT, flushed).await.is_err() {
+            emit!(self.host.log, events::FLUSH_FAILED, "term" => self.term);
+        }
+    }
+
+    /// Ends the leadership for a planned stop: writes all pending records, then deletes the leader's record.
+    pub(crate) async fn hand_over(&self) {
+        self.flush().await;
+        self.step_down("planned stop");
+        let lease = self.claim.lock().lease;
+        if let Err(error) = self.host.services.store.revoke_lease(lease).await {
+            emit!(self.host.log, events::PLATFORM_FAILED, "call" => "revocation of the lease",
+                "fault" => error.to_string());
+        }
+        self.host.disconnect_followers();
+    }
+
+    /// Requests that the leader's record is written again, after it has disappeared while this host leads.
+    pub(crate) fn request_record_rewrite(&self) {
+        self.write_leader_record.store(true, Ordering::Release);
+        self.write.notify_one();
+    }
+
+    /// Handles a call from a caller, either direct or forwarded by a follower.
+    pub(crate) async fn answer(&self, call: Call) -> Answer {
+        if self.has_ended() {
+            return Answer::NotLeader;
+        }
+        match call {
+            Call::Submit { caller, queue, id, job, wait } => match self.authorize(caller) {
+                Ok(scope) => self.submit(scope, queue, id, *job, wait).await,
+                Err(refusal) => Answer::NotAdmitted(refusal),
+            },
+            Call::Cancel { caller, id, wait } => match self.authorize(caller) {
+                Ok(scope) => self.cancel(&scope, id, wait).await,
+                Err(refusal) => Answer::NotAdmitted(refusal),
+            },
+            Call::State { caller, id } if self.is_confirmed() => match self.authorize(caller) {
+                Ok(scope) => Answer::State(self.state(&scope, id)),
+                Err(refusal) => Answer::NotAdmitted(refusal),
+            },
+            Call::Waiting { caller, queue } if self.is_confirmed() => match self.authorize(caller) {
+                Ok(_) => Answer::Waiting(self.engine.lock().waiting(&queue)),
+                Err(refusal) => Answer::NotAdmitted(refusal),
+            },
+            Call::Workspaces => Answer::Workspaces(self.engine.lock().workspaces()),
+            Call::Explain { id } => Answer::Explanation(self.engine.lock().explain(self.host.clock(), id)),
+            _ => Answer::NotLeader,
+        }
+    }
+
+    /// Determines what a call may see, by the newer of the configurations of this host and of the host that received
+    /// the call.
+    fn authorize(&self, caller: Caller) -> Result<Scope, Refusal> {
+        let config = self.host.config();
+        access::authorize(&config, caller).inspect_err(|refusal| {
+            emit!(self.host.log, events::CALL_NOT_ADMITTED, "why" => refusal.to_string(), "sure" => true,
+                "config" => config.version, "config_age_ms" => self.host.config_age().as_millis() as u64,
+                "term" => self.term);
+        })
+    }
+
+    fn state(&self, scope: &Scope, id: JobId) -> Option<State> {
+        let engine = self.engine.lock();
+        if scope.allows(engine.workspace(id)) { engine.state(id) } else { None }
+    }
+
+    async fn cancel(&self, scope: &Scope, id: JobId, wait: Duration) -> Answer {
+        let cancelled = {
+            let mut engine = self.engine.lock();
+            if scope.allows(engine.workspace(id)) { engine.cancel(self.host.clock(), id) } else { None }
+        };
+        let Some(position) = cancelled else {
+            return if self.is_confirmed() { Answer::Cancelled(false) } else { Answer::NotLeader };
+        };
+        self.write.notify_one();
+        self.plan.notify_one();
+        match self.wait_durable(position, wait).await {
+            true => Answer::Cancelled(true),
+            false => Answer::Unknown,
+        }
+    }
+
+    /// Waits until a log position is durable. Returns whether it is.
+    pub(crate) async fn wait_durable(&self, position: u64, wait: Duration) -> bool {
+        let mut durable = self.durable.subscribe();
+        let mut ended = self.ended.subscribe();
+        let reached = async { durable.wait_for(|durable| *durable >= position).await.is_ok() };
+        tokio::select! {
+            reached = tokio::time::timeout(wait, reached) => reached.unwrap_or(false),
+            _ = ended.wait_for(|ended| *ended) => *self.durable.borrow() >= position,
+        }
+    }
+}
--- /dev/null
+++ b/components/entry/src/leadership/loops.rs
@@ -0,0 +1,202 @@
+//! Background loops of the leader: scheduling, renewing its lease, reading the list of workers and following the
+//! configuration.
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::Duration;
+
+use events::emit;
+use sched::{EndedWorker, Engine, Stall, WorkerEndReason, WorkerInfo};
+use tokio::task::JoinHandle;
+use work::{Evidence, WorkerId};
+
+use crate::election::RENEWALS_PER_LEASE;
+use crate::host::Host;
+use crate::leadership::{Leadership, advice, orders, renewal};
+use crate::outage::Outage;
+use crate::services::ServiceError;
+
+/// Maximum time between two scheduling passes: tickets expire and due times pass without an event.
+const MAX_PLAN_INTERVAL: Duration = Duration::from_millis(50);
+/// Minimum time between two passes, so that simultaneous events are handled together.
+const MIN_PLAN_INTERVAL: Duration = Duration::from_millis(2);
+/// The pause after a pass is at least this many times as long as the pass, to leave processor time for renewals,
+/// records and callers.
+const PAUSE_PER_PASS: u32 = 2;
+/// How often the list of workers is read: a worker that is leaving must get nothing new after two seconds.
+const LIST_INTERVAL: Duration = Duration::from_millis(450);
+/// Minimum pause between two reads per listed worker, since reading a list of thousands takes much of the leader's
+/// processor time.
+const LIST_PAUSE_PER_WORKER: Duration = Duration::from_micros(450);
+/// Upper bound for that pause, so that a leaving worker is noticed in time even with a slow store.
+const MAX_LIST_INTERVAL: Duration = Duration::from_millis(1400);
+/// How often ended jobs are removed from memory.
+const FORGET_INTERVAL: Duration = Duration::from_secs(5);
+/// How often to look for jobs that have nothing running.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Runs a scheduling pass after each event.
+pub(crate) async fn plan(leadership: Arc<Leadership>) {
+    let mut forgotten = Duration::ZERO;
+    let mut checked = Duration::ZERO;
+    loop {
+        // Wakes up for an event or at the timeout.
+        let _ = tokio::time::timeout(MAX_PLAN_INTERVAL, leadership.plan.notified()).await;
+        if !leadership.authorized() {
+            continue;
+        }
+        leadership.look_for_predecessor();
+        let clock = leadership.host.clock();
+        let askers = advice::free_askers(&leadership);
+        let (actions, made_room, ended_workers, stalls) = {
+            let mut engine = leadership.engine.lock();
+            engine.set_askers(askers);
+            engine.plan(clock);
+            if clock.now.saturating_sub(forgotten) > FORGET_INTERVAL {
+                forgotten = clock.now;
+                engine.forget_ended_jobs(clock.now);
+            }
+            let mut stalls = Vec::new();
+            if clock.now.saturating_sub(checked) > STALL_CHECK_INTERVAL {
+                checked = clock.now;
+                stalls = engine.stalls(clock);
+                leadership.host.metrics.stalled_jobs.set(engine.stalled_count() as i64);
+            }
+            leadership.set_busy_renewal_interval(engine.busy_renewal_interval());
+            update_metrics(&leadership, &engine);
+            (engine.take_actions(), engine.take_preemptions(), engine.take_ended_workers(), stalls)
+        };
+        for made in made_room {
+            emit!(leadership.host.log, events::ROOM_MADE, "unit" => made.unit.to_string(), "worker" => made.worker,
+                "stopped" => made.stopped, "term" => leadership.term);
+        }
+        ended_workers.iter().for_each(|ended| report_loss(&leadership, ended));
+        stalls.iter().for_each(|stall| report_stall(&leadership, stall));
+        actions.into_iter().for_each(|action| orders::carry_out(&leadership, action));
+        if leadership.engine.lock().has_pending_records() {
+            leadership.write.notify_one();
+        }
+        let took = leadership.host.started.elapsed() - clock.now;
+        tokio::time::sleep(MIN_PLAN_INTERVAL.max(took * PAUSE_PER_PASS)).await;
+    }
+}
+
+/// Logs the runs lost with a worker. From a job's id, these lines lead to the workers that were lost while running
+/// its tasks, and from a worker to what had just started there.
+fn report_loss(leadership: &Leadership, ended: &EndedWorker) {
+    let metrics = &leadership.host.metrics;
+    metrics.worker_ends.get_or_create(&metrics::Outcome { outcome: ended.reason.name() }).inc();
+    if ended.next.is_some() || ended.reason == WorkerEndReason::Restarted {
+        emit!(leadership.host.log, events::WORKER_RESTARTED, "worker" => &ended.worker,
+            "next" => ended.next.as_ref().unwrap_or(&ended.worker), "learnt" => ended.reason.name(),
+            "silent_ms" => ended.silent.as_millis() as u64, "runs" => ended.runs.len(), "term" => leadership.term);
+        metrics.worker_restarts.inc();
+    }
+    if ended.reason != WorkerEndReason::Restarted {
+        emit!(leadership.host.log, events::WORKER_GONE, "worker" => &ended.worker, "learnt" => ended.reason.name(),
+            "silent_ms" => ended.silent.as_millis() as u64, "runs" => ended.runs.len(), "term" => leadership.term);
+    }
+    let new = ended.runs.iter().filter(|lost| !lost.seen_running).count();
+    for lost in &ended.runs {
+        let outcome = if lost.seen_running { "shown" } else { "new" };
+        metrics.lost_runs.get_or_create(&metrics::Outcome { outcome }).inc();
+        emit!(leadership.host.log, events::RUN_LOST, "task" => lost.task.to_string(), "attempt" => lost.attempt,
+            "worker" => &ended.worker, "learnt" => ended.reason.name(), "silent_ms" => ended.silent.as_millis() as u64,
+            "draining" => ended.draining, "age_ms" => lost.age.as_millis() as u64, "shown" => lost.seen_running,
+            "confirmed" => lost.confirmed, "runs" => ended.runs.len(), "new" => new,
+            "evidence" => lost.evidence.map_or("none", Evidence::name), "ends" => lost.ends, "given_up" => lost.given_up,
+            "term" => leadership.term);
+        metrics.tasks_given_up.inc_by(u64::from(lost.given_up));
+    }
+}
+
+/// Logs why a job is stalled.
+fn report_stall(leadership: &Leadership, stall: &Stall) {
+    emit!(leadership.host.log, events::JOB_STALLED, "unit" => stall.unit.to_string(),
+        "lasted_ms" => stall.lasted.as_millis() as u64, "waiting" => stall.waiting,
+        "unlisted" => stall.unlisted, "runs" => stall.run_names.join(", "), "why" => &stall.why, "term" => leadership.term);
+}
+
+/// Updates the metrics of the leadership.
+fn update_metrics(leadership: &Leadership, engine: &Engine) {
+    let (jobs, workers) = engine.sizes();
+    let metrics = &leadership.host.metrics;
+    metrics.live_jobs.set(jobs as i64);
+    metrics.workers.set(workers as i64);
+    metrics.questions.set(leadership.advice_queue.waiting() as i64);
+    metrics.unconfirmed_ms.set(leadership.unconfirmed_for().as_millis() as i64);
+}
+
+/// Result of reading the list of workers.
+pub(crate) type WorkerList = Result<BTreeMap<WorkerId, WorkerInfo>, ServiceError>;
+
+/// Starts reading the list of workers.
+pub(crate) fn read_worker_list(host: &Host) -> JoinHandle<WorkerList> {
+    let directory = host.services.directory.clone();
+    tokio::spawn(async move { directory.workers().await })
+}
+
+/// Reads the list of workers repeatedly; `first` was started before the leadership began.
+pub(crate) async fn list_workers(leadership: Arc<Leadership>, first: JoinHandle<WorkerList>) {
+    let mut outage = Outage::new("list of workers");
+    // A panic while reading the list ends this loop as well.
+    let mut result = first.await.unwrap_or_else(|error| std::panic::resume_unwind(error.into_panic()));
+    loop {
+        let pause = apply_worker_list(&leadership, result, &mut outage);
+        tokio::time::sleep(pause).await;
+        result = leadership.host.services.directory.workers().await;
+    }
+}
+
+/// Applies the result of reading the list. Returns the pause until the next read.
+fn apply_worker_list(leadership: &Arc<Leadership>, result: WorkerList, outage: &mut Outage) -> Duration {
+    match result {
+        Ok(workers) => {
+            let pause = LIST_PAUSE_PER_WORKER * workers.len() as u32;
+            outage.succeeded(&leadership.host.log);
+            leadership.note_store_answer();
+            leadership.engine.lock().update_workers(leadership.host.clock(), workers);
+            renewal::start_missing(leadership);
+            leadership.write.notify_one();
+            leadership.plan.notify_one();
+            pause.clamp(LIST_INTERVAL, MAX_LIST_INTERVAL)
+        }
+        Err(error) => {
+            outage.failed(&leadership.host.log, &error);
+            renewal::start_missing(leadership);
+            LIST_INTERVAL
+        }
+    }
+}
+
+/// Renews the lease of the leader's record.
+pub(crate) async fn renew_lease(leadership: Arc<Leadership>) {
+    let every = leadership.host.settings.lease_ttl / RENEWALS_PER_LEASE;
+    loop {
+        tokio::time::sleep(every).await;
+        let lease = leadership.claim.lock().lease;
+        let sent = leadership.host.started.elapsed();
+        match leadership.host.services.store.renew_lease(lease).await {
+            Ok(true) => leadership.confirm(sent),
+            Ok(false) => {
+                emit!(leadership.host.log, events::LEASE_LOST, "term" => leadership.term);
+                leadership.request_record_rewrite();
+            }
+            Err(error) => emit!(leadership.host.log, events::PLATFORM_FAILED, "call" => "renewal of the lease",
+                "fault" => error.to_string()),
+        }
+    }
+}
+
+/// Passes newer configurations to the engine.
+pub(crate) async fn follow_config(leadership: Arc<Leadership>) {
+    let mut configs = leadership.host.subscribe_config();
+    loop {
+        let config = configs.borrow_and_update().clone();
+        leadership.engine.lock().configure(config);
+        leadership.plan.notify_one();
+        if configs.changed().await.is_err() {
+            return;
+        }
+    }
+}
