--- a/components/entry/src/election.rs
+++ b/components/entry/src/election.rs
@@ -163,7 +163,7 @@
         }
         Ok(_) => {
             link.close();
-            emit!(host.log, events::LEADER_DENIES, "leader" => &leader.host, "term" => leader.term);
+            emit!(host.log, events::LEADER_NOT_LEADING, "leader" => &leader.host, "term" => leader.term);
             // Another process has taken over the leader's address: the leader is gone.
             host.set_role(Role::NoLeader);
             if let Some(record_revision) = record_revision {
@@ -226,7 +226,7 @@
         let sent = host.started.elapsed();
         match link.call(Call::Ping, PING_INTERVAL).await {
             Ok(Answer::Alive(Alive { leader: Some(now), .. })) if now.term > leader.term && follows(&host, &leader) => {
-                emit!(host.log, events::LEADER_DENIES, "leader" => &leader.host, "term" => leader.term);
+                emit!(host.log, events::LEADER_NOT_LEADING, "leader" => &leader.host, "term" => leader.term);
                 connect(&host, now, None).await;
                 break;
             }
@@ -322,7 +322,7 @@
         return;
     }
     if let Err(error) = claim(host, record_revision, predecessor, start_term).await {
-        emit!(host.log, events::CLAIM_FAILED, "fault" => format!("{error:#}"));
+        emit!(host.log, events::LEADERSHIP_CLAIM_FAILED, "fault" => format!("{error:#}"));
         tokio::time::sleep(RETRY_DELAY).await;
     }
 }
@@ -386,7 +386,7 @@
         Err(ServiceError::Unknown(error)) => verify_claim(host, &leader).await.context(error)?,
         Err(error) => return Err(error.into()),
     };
-    emit!(host.log, events::CLAIMED, "term" => term, "revision" => revision);
+    emit!(host.log, events::LEADERSHIP_CLAIMED, "term" => term, "revision" => revision);
     begin_leadership(
         host,
         Claim { term, revision, lease, leader, last_leader, record_revision: revision, confirmed_at },
--- a/components/entry/src/leadership.rs
+++ b/components/entry/src/leadership.rs
@@ -277,7 +277,7 @@
             return;
         }
         self.host.claimed_term.store(0, Ordering::Release);
-        emit!(self.host.log, events::DEPOSED, "term" => self.term, "why" => why);
+        emit!(self.host.log, events::LEADERSHIP_ENDED, "term" => self.term, "why" => why);
         self.loops.lock().drain(..).for_each(|handle| handle.abort());
         self.worker_handles.lock().drain().for_each(|(_, handle)| handle.abort());
     }
--- a/components/entry/src/leadership/commit.rs
+++ b/components/entry/src/leadership/commit.rs
@@ -154,7 +154,7 @@
     fn finish(&mut self, batch: Batch, committed: Committed) {
         let leadership = &self.leadership;
         if leadership.unanswered_since.lock().take().is_some() {
-            emit!(leadership.host.log, events::PLATFORM_BACK, "call" => "transaction");
+            emit!(leadership.host.log, events::PLATFORM_RECOVERED, "call" => "transaction");
         }
         if batch.write_leader_record {
             leadership.claim.lock().record_revision = committed.revision;
@@ -226,7 +226,7 @@
             }
         };
         if leadership.unanswered_since.lock().replace(started_at).is_none() {
-            emit!(leadership.host.log, events::WRITE_UNSETTLED, "fault" => error,
+            emit!(leadership.host.log, events::WRITE_UNCONFIRMED, "fault" => error,
                 "after_ms" => usual.as_millis() as u64);
         }
     }
--- a/components/entry/src/leadership/loops.rs
+++ b/components/entry/src/leadership/loops.rs
@@ -67,7 +67,7 @@
             (engine.take_actions(), engine.take_preemptions(), engine.take_ended_workers(), stalls)
         };
         for made in made_room {
-            emit!(leadership.host.log, events::ROOM_MADE, "unit" => made.unit.to_string(), "worker" => made.worker,
+            emit!(leadership.host.log, events::RUNS_PREEMPTED, "unit" => made.unit.to_string(), "worker" => made.worker,
                 "stopped" => made.stopped, "term" => leadership.term);
         }
         ended_workers.iter().for_each(|ended| report_loss(&leadership, ended));
--- a/components/entry/src/leadership/renewal.rs
+++ b/components/entry/src/leadership/renewal.rs
@@ -246,7 +246,7 @@
     fn note_answer(&mut self, clock: Duration) {
         let host = &self.leadership.host;
         if std::mem::take(&mut self.silent) {
-            emit!(host.log, events::WORKER_BACK, "worker" => &self.target.id, "lapsed" => self.expired);
+            emit!(host.log, events::WORKER_RESPONDING, "worker" => &self.target.id, "lapsed" => self.expired);
         }
         self.expired = false;
         let known = self.leadership.claim.lock().last_leader.is_some();
@@ -288,7 +288,7 @@
         }
         let expired = self.lease.lock().is_expired(host.started.elapsed());
         if expired && !std::mem::replace(&mut self.expired, true) {
-            emit!(host.log, events::WORKER_LAPSED, "worker" => id);
+            emit!(host.log, events::WORKER_LEASES_EXPIRED, "worker" => id);
             self.leadership.engine.lock().leases_expired(host.clock(), id);
             self.leadership.plan.notify_one();
         }
--- a/components/entry/src/outage.rs
+++ b/components/entry/src/outage.rs
@@ -19,7 +19,7 @@
 
     pub(crate) fn succeeded(&mut self, log: &Logger) {
         if std::mem::take(&mut self.failing) {
-            emit!(log, events::PLATFORM_BACK, "call" => self.call);
+            emit!(log, events::PLATFORM_RECOVERED, "call" => self.call);
         }
     }
 
--- a/components/entry/src/peers.rs
+++ b/components/entry/src/peers.rs
@@ -43,7 +43,7 @@
         Call::FetchConfig => Answer::Config((*host.config()).clone()),
         Call::Probe => probe(&host).await,
         Call::TakeOver(record_revision) => {
-            emit!(host.log, events::TAKE_OVER_ASKED, "record" => record_revision);
+            emit!(host.log, events::ASKED_TO_TAKE_OVER, "record" => record_revision);
             tokio::spawn(election::take_over(host.clone(), record_revision));
             Answer::Done
         }
--- a/components/events/src/lib.rs
+++ b/components/events/src/lib.rs
@@ -1,9 +1,9 @@
-//! Structured logs: numbered events, one JSON object a line on standard output.
+//! Structured logging: numbered events, written as one JSON object per line.
 //!
-//! The catalogue here is the one in `docs/EVENTS.md`; a test holds both together.
+//! `docs/EVENTS.md` lists the same events; a test compares the two.
 
 mod catalogue;
-mod gate;
+mod rate_limit;
 
 use std::io::Write;
 
@@ -11,45 +11,45 @@
 
 pub use catalogue::*;
 #[doc(hidden)]
-pub use gate::admit as __admit;
-pub use gate::{Admission, Gate, LINES_A_SECOND};
+pub use rate_limit::admit as __admit;
+pub use rate_limit::{Admission, MAX_LINES_PER_SECOND, RateLimiter};
 
 /// Severity of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Level {
-    /// For developers.
+    /// Details for developers.
     Debug,
-    /// A change of state.
+    /// A regular change of state.
     Info,
-    /// Something to look at.
+    /// A condition that an operator may have to look at.
     Warning,
-    /// Something is broken.
+    /// A fault.
     Error,
 }
 
-/// A kind of log line.
+/// A kind of log event.
 #[derive(Clone, Copy, Debug)]
 pub struct Event {
-    /// Its number; never reused for another meaning.
+    /// Identifies the event; never reused for another meaning.
     pub number: u16,
-    /// Its severity.
     pub level: Level,
-    /// What happened, in words.
+    /// Message of each log line of this event.
     pub text: &'static str,
 }
 
-/// Lines that may wait for the writer; more are dropped and counted, rather than holding up the work.
-const QUEUE: usize = 4096;
+/// Lines that may be queued for the writer thread. When the queue is full, further lines are dropped and counted,
+/// so that a slow reader never blocks the caller.
+const QUEUE_CAPACITY: usize = 4096;
 
-/// Creates a logger that writes events of at least `least` severity to `out`.
-pub fn logger(out: impl Write + Send + 'static, least: Level, host: &str) -> Logger {
+/// Creates a logger that writes events of severity `min_level` and above to `out`.
+pub fn logger(out: impl Write + Send + 'static, min_level: Level, host: &str) -> Logger {
     let json = slog_json::Json::new(out).add_default_keys().build().fuse();
-    let queued = slog_async::Async::new(json).chan_size(QUEUE).build().fuse();
-    let filtered = slog::LevelFilter::new(queued, slog_level(least)).fuse();
+    let queued = slog_async::Async::new(json).chan_size(QUEUE_CAPACITY).build().fuse();
+    let filtered = slog::LevelFilter::new(queued, slog_level(min_level)).fuse();
     Logger::root(filtered, o!("host" => host.to_owned()))
 }
 
-/// A logger that writes nothing.
+/// Returns a logger that discards everything.
 pub fn silent() -> Logger {
     Logger::root(slog::Discard, o!())
 }
@@ -66,15 +66,15 @@
 #[doc(hidden)]
 pub use slog as __slog;
 
-/// Writes an event with its fields: `emit!(log, events::STARTED, "port" => port)`. Beyond a bound a second and kind, lines
-/// are left out and counted.
+/// Logs an event with its fields: `emit!(log, events::STARTED, "port" => port)`. Each event is limited to
+/// [`MAX_LINES_PER_SECOND`]; lines beyond that are dropped and counted.
 #[macro_export]
 macro_rules! emit {
     ($log:expr, $event:expr $(, $key:literal => $value:expr)* $(,)?) => {{
         let event: $crate::Event = $event;
         let admission = $crate::__admit(event.number);
-        if let $crate::Admission::WrittenAfter(left_out) = admission {
-            $crate::__write!($log, $crate::LINES_LEFT_OUT, "of" => event.number, "lines" => left_out);
+        if let $crate::Admission::WrittenAfter(dropped) = admission {
+            $crate::__write!($log, $crate::LINES_DROPPED, "of" => event.number, "lines" => dropped);
         }
         if admission != $crate::Admission::LeftOut {
             $crate::__write!($log, event $(, $key => $value)*);
--- a/components/events/tests/catalogue.rs
+++ b/components/events/tests/catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogue and its page say the same.
+//! The event catalogue and `docs/EVENTS.md` list the same events.
 
 use events::ALL;
 
@@ -18,6 +18,6 @@
 }
 
 #[test]
-fn numbers_grow() {
+fn event_numbers_are_in_ascending_order() {
     assert!(ALL.windows(2).all(|pair| pair[0].number < pair[1].number));
 }
--- a/components/events/tests/flood.rs
+++ b/components/events/tests/flood.rs
@@ -1,21 +1,21 @@
-//! A flood of lines holds nobody up, and what is left out is counted.
+//! A flood of log lines doesn't block the caller, and dropped lines are counted.
 
 use std::io::Write;
 use std::sync::mpsc;
 use std::time::Duration;
 
-use events::{Admission, Gate, LINES_A_SECOND, Level, emit};
+use events::{Admission, Level, MAX_LINES_PER_SECOND, RateLimiter, emit};
 
-/// A reader that stands still until it is let go.
-struct Stuck {
-    go: mpsc::Receiver<()>,
+/// A writer that blocks until the sender of `resume` is dropped.
+struct BlockedWriter {
+    resume: mpsc::Receiver<()>,
     lines: mpsc::Sender<Vec<u8>>,
 }
 
-impl Write for Stuck {
+impl Write for BlockedWriter {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        // Once its other end is gone, nothing holds it any more.
-        let _ = self.go.recv();
+        // Returns at once when the sender has been dropped.
+        let _ = self.resume.recv();
         let _ = self.lines.send(bytes.to_vec());
         Ok(bytes.len())
     }
@@ -25,34 +25,34 @@
     }
 }
 
-/// Lines of the flood: far more than wait in any queue.
-const FLOOD: u32 = 100_000;
+/// Far more lines than any queue between the caller and the writer holds.
+const FLOOD_LINES: u32 = 100_000;
 
 #[test]
 fn a_reader_that_stands_still_holds_nobody_up() {
-    let (let_go, go) = mpsc::channel();
+    let (unblock, resume) = mpsc::channel();
     let (lines, written) = mpsc::channel();
-    let log = events::logger(Stuck { go, lines }, Level::Info, "host");
-    // Would never end if a line waited for the reader.
-    (0..FLOOD).for_each(|number| emit!(log, events::RUN_STARTED, "number" => number));
-    drop(let_go);
+    let log = events::logger(BlockedWriter { resume, lines }, Level::Info, "host");
+    // Would never return if `emit!` waited for the writer.
+    (0..FLOOD_LINES).for_each(|number| emit!(log, events::RUN_STARTED, "number" => number));
+    drop(unblock);
     drop(log);
     let text: Vec<u8> = written.iter().flatten().collect();
     let text = String::from_utf8(text).expect("text");
-    assert!(text.contains("\"number\":0"), "the first lines were kept");
-    let count = text.lines().filter(|line| line.contains("start ordered")).count();
-    assert!(count > 0 && count < FLOOD as usize, "{count} lines were written");
+    assert!(text.contains("\"number\":0"), "the first lines were dropped");
+    let count = text.lines().filter(|line| line.contains("start order sent")).count();
+    assert!(count > 0 && count < FLOOD_LINES as usize, "{count} lines were written");
 }
 
 #[test]
 fn a_kind_is_bounded_in_each_second_and_says_what_was_left_out() {
-    let gate = Gate::default();
+    let limiter = RateLimiter::default();
     let first = Duration::from_millis(1500);
-    let written = (0..LINES_A_SECOND + 7).filter(|_| gate.admit(first) == Admission::Written).count();
-    assert_eq!(written, LINES_A_SECOND as usize);
-    assert_eq!(gate.admit(first), Admission::LeftOut);
+    let written = (0..MAX_LINES_PER_SECOND + 7).filter(|_| limiter.admit(first) == Admission::Written).count();
+    assert_eq!(written, MAX_LINES_PER_SECOND as usize);
+    assert_eq!(limiter.admit(first), Admission::LeftOut);
     let second = Duration::from_millis(2000);
-    assert_eq!(gate.admit(second), Admission::WrittenAfter(8));
-    assert_eq!(gate.admit(second), Admission::Written);
-    assert_eq!(gate.admit(Duration::from_secs(9)), Admission::Written, "nothing was left out since");
+    assert_eq!(limiter.admit(second), Admission::WrittenAfter(8));
+    assert_eq!(limiter.admit(second), Admission::Written);
+    assert_eq!(limiter.admit(Duration::from_secs(9)), Admission::Written, "nothing was dropped since");
 }
--- a/components/node/src/commands.rs
+++ b/components/node/src/commands.rs
@@ -72,7 +72,7 @@
 }
 
 fn refuse(shared: &Shared, command: &Command, reason: String, retry_after: Option<Duration>) -> Outcome {
-    events::emit!(shared.log, events::COMMAND_REFUSED, "command" => command.command.to_string(), "why" => &reason);
+    events::emit!(shared.log, events::COMMAND_NOT_DONE, "command" => command.command.to_string(), "why" => &reason);
     let retry_after_ms = retry_after.map(|after| after.as_millis() as u64);
     Outcome { retry_after_ms, ..Outcome::not_done(reason) }
 }
--- a/components/node/src/configuration.rs
+++ b/components/node/src/configuration.rs
@@ -289,7 +289,7 @@
     for (key, reason) in &applied.unreadable {
         events::emit!(shared.log, events::RECORD_UNREADABLE, "key" => key, "why" => reason);
     }
-    events::emit!(shared.log, events::CONFIGURATION, "revision" => shared.configuration.revision());
+    events::emit!(shared.log, events::CONFIG_CHANGED, "revision" => shared.configuration.revision());
     crate::owner::apply_records(shared, &applied.workloads);
     if applied.drains {
         crate::held_workers::refresh_leaving(shared);
--- a/components/node/src/held_workers.rs
+++ b/components/node/src/held_workers.rs
@@ -242,7 +242,7 @@
             let ended = ledger.expire_leases(sole, now);
             drop(ledger);
             if !ended.is_empty() {
-                events::emit!(shared.log, events::WORKER_LAPSED, "worker" => worker, "tasks" => ended.len());
+                events::emit!(shared.log, events::WORKER_LEASES_EXPIRED, "worker" => worker, "tasks" => ended.len());
             }
             log_ends(shared, &ended);
         }
@@ -254,11 +254,11 @@
 fn log_recovery(shared: &Shared, worker: &WorkerId, held: &HeldWorker, (reachable, probation): (bool, bool)) {
     let on_probation = held.ledger.lock().on_probation();
     if !reachable {
-        events::emit!(shared.log, events::WORKER_BACK, "worker" => worker);
+        events::emit!(shared.log, events::WORKER_RESPONDING, "worker" => worker);
     }
     match (probation, on_probation) {
         (false, true) => events::emit!(shared.log, events::WORKER_PROBATION, "worker" => worker),
-        (true, false) => events::emit!(shared.log, events::WORKER_TRUSTED, "worker" => worker),
+        (true, false) => events::emit!(shared.log, events::WORKER_PROBATION_PASSED, "worker" => worker),
         _ => {}
     }
 }
--- a/components/node/src/listing.rs
+++ b/components/node/src/listing.rs
@@ -95,7 +95,7 @@
             read_from_peer(&shared).await
         };
         if changed {
-            events::emit!(shared.log, events::LIST_CHANGED, "hosts" => shared.listing.all().1.len());
+            events::emit!(shared.log, events::HOST_LIST_CHANGED, "hosts" => shared.listing.all().1.len());
             crate::held_workers::refresh_leaving(&shared);
             shared.schedule_needed.notify_one();
         }
