--- a/components/board/src/lib.rs
+++ b/components/board/src/lib.rs
@@ -1,33 +1,33 @@
 //! A versioned map whose readers fetch only what changed since the version they have.
 //!
-//! The same mechanism carries two things between entry hosts: the configuration, whose versions are
-//! revisions of the platform's key-value service, and the facts that each host publishes about the workers
-//! that it holds, whose versions that host counts itself. Nothing here performs I/O or reads a clock.
+//! Entry hosts replicate two things with it: the configuration, versioned by the revisions of the platform's
+//! key-value service, and the facts that each host publishes about its workers, versioned by a counter of that
+//! host. Nothing here performs I/O or reads a clock.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Version of a board; 0 is the empty board.
+/// Version of a map; 0 is the version of an empty map.
 pub type Version = u64;
 
-/// Removed keys remembered for readers that are behind; older ones get the whole board.
-pub const TOMBSTONES: usize = 4096;
+/// Most removed keys that are remembered. A reader that misses an older removal gets the whole map.
+pub const MAX_TOMBSTONES: usize = 4096;
 
-/// A map that remembers at which version each key last changed.
+/// A map that records the version at which each key last changed.
 #[derive(Clone, Debug)]
-pub struct Board<K: Ord, V> {
+pub struct VersionedMap<K: Ord, V> {
     items: BTreeMap<K, (V, Version)>,
     removed: BTreeMap<K, Version>,
     version: Version,
-    /// Readers at a version below this one may have missed a removal.
+    /// Readers at an earlier version may have missed a removal whose tombstone is gone.
     horizon: Version,
 }
 
-/// What a reader needs to come from `since` to `version`.
+/// The changes that bring a reader from version `since` to `version`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta<K, V> {
-    /// The version that the reader had; 0 when `items` is the whole board.
+    /// The version that the reader has; 0 if `items` is the whole map.
     pub since: Version,
     /// The version that the reader has after applying this.
     pub version: Version,
@@ -37,19 +37,18 @@
     pub removed: Vec<(K, Version)>,
 }
 
-impl<K: Ord + Clone, V: Clone> Default for Board<K, V> {
+impl<K: Ord + Clone, V: Clone> Default for VersionedMap<K, V> {
     fn default() -> Self {
-        Board { items: BTreeMap::new(), removed: BTreeMap::new(), version: 0, horizon: 0 }
+        VersionedMap { items: BTreeMap::new(), removed: BTreeMap::new(), version: 0, horizon: 0 }
     }
 }
 
-impl<K: Ord + Clone, V: Clone> Board<K, V> {
-    /// The newest version that this board holds.
+impl<K: Ord + Clone, V: Clone> VersionedMap<K, V> {
+    /// The newest version that this map has seen.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// The value of a key.
     pub fn get(&self, key: &K) -> Option<&V> {
         self.items.get(key).map(|(value, _)| value)
     }
@@ -59,22 +58,20 @@
         self.items.get(key).map(|(_, version)| *version)
     }
 
-    /// All keys and values, in the order of the keys.
+    /// Iterates over all keys and values in key order.
     pub fn iter(&self) -> impl Iterator<Item = (&K, &V)> {
         self.items.iter().map(|(key, (value, _))| (key, value))
     }
 
-    /// Number of keys.
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
-    /// Whether there is no key.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// Sets a key under the next version, unless it has that value already. Tells whether it changed.
+    /// Sets a key at the next version, unless it already has that value. Returns whether the value changed.
     pub fn set(&mut self, key: K, value: V) -> bool
     where
         V: PartialEq,
@@ -87,7 +84,7 @@
         true
     }
 
-    /// Removes a key under the next version. Tells whether it was there.
+    /// Removes a key at the next version. Returns whether the key existed.
     pub fn remove(&mut self, key: &K) -> bool {
         if !self.items.contains_key(key) {
             return false;
@@ -97,9 +94,9 @@
         true
     }
 
-    /// Sets a key at a version given from outside. A change older than the one known is ignored.
+    /// Sets a key at the given version. Does nothing if a change of the key at that version or later is known.
     pub fn set_at(&mut self, key: K, value: V, version: Version) {
-        if self.known_at(&key) >= version {
+        if self.last_changed_at(&key) >= version {
             return;
         }
         self.removed.remove(&key);
@@ -107,23 +104,24 @@
         self.version = self.version.max(version);
     }
 
-    /// Removes a key at a version given from outside. A removal older than the change known is ignored.
+    /// Removes a key at the given version. Does nothing if a change of the key at that version or later is known.
     pub fn remove_at(&mut self, key: &K, version: Version) {
-        if self.known_at(key) >= version {
+        if self.last_changed_at(key) >= version {
             return;
         }
         self.items.remove(key);
         self.removed.insert(key.clone(), version);
         self.version = self.version.max(version);
-        self.forget_old_removals();
+        self.prune_tombstones();
     }
 
-    /// States that all changes up to `version` have been applied, also where none touched a key here.
+    /// Records that all changes up to `version` have been applied, even if they changed no key of this map.
     pub fn advance(&mut self, version: Version) {
         self.version = self.version.max(version);
     }
 
-    /// What changed after `since`.
+    /// Returns the changes after `since`, or the whole map if the removals since then are no longer known or `since` is
+    /// newer than this map.
     pub fn delta(&self, since: Version) -> Delta<K, V> {
         let since = if since < self.horizon || since > self.version { 0 } else { since };
         let items = self.items.iter().filter(|(_, (_, at))| *at > since);
@@ -136,8 +134,8 @@
         }
     }
 
-    /// Applies what a peer sent. A delta that would leave a gap, or that is older, changes nothing.
-    /// Tells whether it was applied.
+    /// Applies a delta and returns whether it was applied. A delta that is not newer than this map, or that starts after
+    /// this map's version and so would leave a gap, changes nothing.
     pub fn apply(&mut self, delta: Delta<K, V>) -> bool {
         if delta.version <= self.version || delta.since > self.version {
             return false;
@@ -163,14 +161,14 @@
         self.horizon = whole.version;
     }
 
-    fn known_at(&self, key: &K) -> Version {
+    fn last_changed_at(&self, key: &K) -> Version {
         let set = self.items.get(key).map_or(0, |(_, at)| *at);
         let removed = self.removed.get(key).copied().unwrap_or(0);
         set.max(removed)
     }
 
-    fn forget_old_removals(&mut self) {
-        while self.removed.len() > TOMBSTONES {
+    fn prune_tombstones(&mut self) {
+        while self.removed.len() > MAX_TOMBSTONES {
             let Some((oldest, at)) = self.removed.iter().min_by_key(|(_, at)| **at) else { return };
             let (oldest, at) = (oldest.clone(), *at);
             self.removed.remove(&oldest);
--- a/components/board/tests/board.rs
+++ b/components/board/tests/board.rs
@@ -1,6 +1,6 @@
-//! Readers converge on the origin's board whatever deltas they miss.
+//! Readers converge on the origin's map whichever deltas they miss.
 
-use board::Board;
+use board::VersionedMap;
 use proptest::prelude::*;
 
 #[derive(Clone, Debug)]
@@ -21,8 +21,8 @@
 proptest! {
     #[test]
     fn a_reader_that_pulls_last_equals_the_origin(steps in prop::collection::vec(step(), 0..200)) {
-        let mut origin = Board::default();
-        let mut reader = Board::default();
+        let mut origin = VersionedMap::default();
+        let mut reader = VersionedMap::default();
         for step in steps {
             match step {
                 Step::Set(key, value) => { origin.set(key, value); }
@@ -38,11 +38,11 @@
 
 #[test]
 fn an_older_delta_never_reverts_a_newer_board() {
-    let mut origin = Board::default();
+    let mut origin = VersionedMap::default();
     origin.set("quota", 1);
     let old = origin.delta(0);
     origin.set("quota", 2);
-    let mut reader = Board::default();
+    let mut reader = VersionedMap::default();
     assert!(reader.apply(origin.delta(0)));
     assert!(!reader.apply(old));
     assert_eq!(reader.get(&"quota"), Some(&2));
@@ -50,12 +50,12 @@
 
 #[test]
 fn a_delta_that_would_leave_a_gap_is_not_applied() {
-    let mut origin = Board::default();
+    let mut origin = VersionedMap::default();
     origin.set("a", 1);
     origin.set("b", 1);
     origin.set("c", 1);
     let tail = origin.delta(2);
-    let mut reader = Board::default();
+    let mut reader = VersionedMap::default();
     assert!(!reader.apply(tail));
     assert!(reader.is_empty());
 }
--- a/components/facts/src/lib.rs
+++ b/components/facts/src/lib.rs
@@ -6,13 +6,13 @@
 
 use std::collections::HashMap;
 
-use board::{Board, Delta, Version};
+use board::{Delta, Version, VersionedMap};
 use model::task::{Attempt, Id};
 use model::{Epoch, HostId, Incarnation, WorkerId};
 use parking_lot::Mutex;
 use wire::{Fact, FactKey, TaskFact, WorkerFact};
 
-type Published = Board<FactKey, Fact>;
+type Published = VersionedMap<FactKey, Fact>;
 
 struct PeerFacts {
     incarnation: Incarnation,
@@ -116,10 +116,10 @@
             .entry(host.clone())
             .and_modify(|peer| {
                 if peer.incarnation != incarnation {
-                    *peer = PeerFacts { incarnation, board: Board::default() };
+                    *peer = PeerFacts { incarnation, board: VersionedMap::default() };
                 }
             })
-            .or_insert_with(|| PeerFacts { incarnation, board: Board::default() });
+            .or_insert_with(|| PeerFacts { incarnation, board: VersionedMap::default() });
         let items = delta.items.clone();
         if !peer.board.apply(delta) {
             return Vec::new();
--- a/components/facts/tests/facts.rs
+++ b/components/facts/tests/facts.rs
@@ -1,6 +1,6 @@
 //! Tests of the merged facts of several hosts, some of which are out of date.
 
-use board::Board;
+use board::VersionedMap;
 use facts::{Change, Facts, VisibleFrom};
 use model::Resources;
 use model::task::{Attempt, Id};
@@ -38,8 +38,8 @@
 }
 
 /// Facts that a peer publishes about a worker that it holds under `epoch`.
-fn published(epoch: u64, with_task: bool) -> Board<FactKey, Fact> {
-    let mut board = Board::default();
+fn published(epoch: u64, with_task: bool) -> VersionedMap<FactKey, Fact> {
+    let mut board = VersionedMap::default();
     board.set(FactKey::Worker("w".to_owned()), Fact::Worker(worker(epoch)));
     if with_task {
         let (key, fact) = running();
--- a/components/node/src/configuration.rs
+++ b/components/node/src/configuration.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use board::{Board, Delta};
+use board::{Delta, VersionedMap};
 use claim::Claim;
 use model::workload::{Progress, Record, Versioned};
 use model::{DataCentreId, Partition, Revision, WorkerId, WorkloadId};
@@ -43,7 +43,7 @@
 
 #[derive(Default)]
 struct State {
-    board: Board<EntryKey, Entry>,
+    board: VersionedMap<EntryKey, Entry>,
     records: Records,
 }
 
--- a/components/wire/tests/wire.rs
+++ b/components/wire/tests/wire.rs
@@ -1,6 +1,6 @@
 //! Malformed, foreign and truncated messages are refused cleanly; good ones survive the round trip.
 
-use board::Board;
+use board::VersionedMap;
 use model::Resources;
 use model::task::{Attempt, End, Id};
 use proptest::prelude::*;
@@ -41,7 +41,7 @@
         TaskState::Running(address),
         TaskState::Stopping,
     ]);
-    let mut board = Board::default();
+    let mut board = VersionedMap::default();
     for (index, state) in states.enumerate() {
         let task = Id { workload: "plan".to_owned(), life: 1, data_centre: "gt-1".to_owned(), index: index as u32 };
         let fact =
