--- a/bins/walkhook/tests/cli.rs
+++ b/bins/walkhook/tests/cli.rs
@@ -4,7 +4,7 @@
 use std::process::Output;
 use std::sync::Arc;
 
-use api::{Command, Health, Operators, Outcome};
+use api::{Command, Health, OperatorHandler, Outcome};
 use async_trait::async_trait;
 use parking_lot::Mutex;
 use uuid::Uuid;
@@ -21,7 +21,7 @@
 }
 
 #[async_trait]
-impl Operators for Double {
+impl OperatorHandler for Double {
     async fn execute(&self, command: Command) -> Outcome {
         self.executed.lock().push(command);
         self.says.lock().clone().unwrap_or_else(|| Outcome::done("accepted"))
@@ -45,8 +45,8 @@
     }
 }
 
-fn start(double: &Arc<Double>) -> dropshot::HttpServer<Arc<dyn Operators>> {
-    let operators: Arc<dyn Operators> = double.clone();
+fn start(double: &Arc<Double>) -> dropshot::HttpServer<Arc<dyn OperatorHandler>> {
+    let operators: Arc<dyn OperatorHandler> = double.clone();
     api::start(SocketAddr::from(([127, 0, 0, 1], 0)), operators, &events::silent()).expect("a free port")
 }
 
--- a/components/api/src/lib.rs
+++ b/components/api/src/lib.rs
@@ -8,7 +8,7 @@
 mod server;
 mod types;
 
-pub use server::{Operators, description, start};
+pub use server::{OperatorHandler, description, start};
 pub use types::{Command, Health, Outcome, Rows, Status};
 
 /// Version of the interface.
--- a/components/api/src/server.rs
+++ b/components/api/src/server.rs
@@ -22,7 +22,7 @@
 
 /// What stands behind the interface.
 #[async_trait]
-pub trait Operators: Send + Sync + 'static {
+pub trait OperatorHandler: Send + Sync + 'static {
     /// Carries a statement out.
     async fn execute(&self, command: Command) -> Outcome;
     /// The outcome of an earlier command.
@@ -35,7 +35,7 @@
     fn shared_key(&self) -> &str;
 }
 
-type Context = Arc<dyn Operators>;
+type Context = Arc<dyn OperatorHandler>;
 
 /// Starts the server. Closing the returned handle lets requests in flight finish.
 pub fn start(address: SocketAddr, operators: Context, log: &Logger) -> Result<HttpServer<Context>, String> {
--- a/components/entry/src/host.rs
+++ b/components/entry/src/host.rs
@@ -66,7 +66,7 @@
     pub settings: Settings,
     pub(crate) services: Services,
     pub log: Logger,
-    pub metrics: metrics::Jobs,
+    pub metrics: metrics::JobMetrics,
     /// Start of its monotonic clock.
     pub(crate) started: clock::Stopwatch,
     config: watch::Sender<Arc<Config>>,
@@ -125,7 +125,7 @@
 
 impl Host {
     /// Creates a host without starting its background tasks; see [`crate::spawn`].
-    pub fn new(settings: Settings, services: Services, log: Logger, metrics: metrics::Jobs) -> Arc<Host> {
+    pub fn new(settings: Settings, services: Services, log: Logger, metrics: metrics::JobMetrics) -> Arc<Host> {
         Arc::new(Host {
             started: services.clock.start(),
             settings,
@@ -237,7 +237,7 @@
             Role::Leading(leadership) => leadership.term,
             Role::NoLeader | Role::Following(..) => 0,
         };
-        self.metrics.term.set(term as i64);
+        self.metrics.leader_term.set(term as i64);
         match &role {
             Role::NoLeader => emit!(self.log, events::LEADER_LOST),
             Role::Leading(leadership) => emit!(self.log, events::LEADER_KNOWN, "leader" => &self.settings.host,
--- a/components/entry/src/leadership/loops.rs
+++ b/components/entry/src/leadership/loops.rs
@@ -85,7 +85,7 @@
 /// its tasks, and from a worker to what had just started there.
 fn report_loss(leadership: &Leadership, ended: &EndedWorker) {
     let metrics = &leadership.host.metrics;
-    metrics.worker_ends.get_or_create(&metrics::Outcome { outcome: ended.reason.name() }).inc();
+    metrics.worker_ends.get_or_create(&metrics::OutcomeLabels { outcome: ended.reason.name() }).inc();
     if ended.next.is_some() || ended.reason == WorkerEndReason::Restarted {
         emit!(leadership.host.log, events::WORKER_RESTARTED, "worker" => &ended.worker,
             "next" => ended.next.as_ref().unwrap_or(&ended.worker), "learnt" => ended.reason.name(),
@@ -99,7 +99,7 @@
     let new = ended.runs.iter().filter(|lost| !lost.seen_running).count();
     for lost in &ended.runs {
         let outcome = if lost.seen_running { "shown" } else { "new" };
-        metrics.lost_runs.get_or_create(&metrics::Outcome { outcome }).inc();
+        metrics.lost_runs.get_or_create(&metrics::OutcomeLabels { outcome }).inc();
         emit!(leadership.host.log, events::RUN_LOST, "task" => lost.task.to_string(), "attempt" => lost.attempt,
             "worker" => &ended.worker, "learnt" => ended.reason.name(), "silent_ms" => ended.silent.as_millis() as u64,
             "draining" => ended.draining, "age_ms" => lost.age.as_millis() as u64, "shown" => lost.seen_running,
@@ -122,9 +122,9 @@
     let (jobs, workers) = engine.sizes();
     let metrics = &leadership.host.metrics;
     metrics.live_jobs.set(jobs as i64);
-    metrics.workers.set(workers as i64);
-    metrics.questions.set(leadership.advice_queue.waiting() as i64);
-    metrics.unconfirmed_ms.set(leadership.unconfirmed_for().as_millis() as i64);
+    metrics.held_workers.set(workers as i64);
+    metrics.advice_waiting.set(leadership.advice_queue.waiting() as i64);
+    metrics.leader_unconfirmed_ms.set(leadership.unconfirmed_for().as_millis() as i64);
 }
 
 /// Result of reading the list of workers.
--- a/components/entry/src/leadership/orders.rs
+++ b/components/entry/src/leadership/orders.rs
@@ -45,7 +45,7 @@
     let outcome = send_start(&leadership, &worker, start.clone()).await;
     emit!(leadership.host.log, events::RUN_STARTED, "task" => start.task.to_string(), "attempt" => start.attempt,
         "worker" => &worker, "outcome" => format!("{outcome:?}"), "term" => leadership.term);
-    leadership.host.metrics.starts.get_or_create(&metrics::Outcome { outcome: outcome.name() }).inc();
+    leadership.host.metrics.starts.get_or_create(&metrics::OutcomeLabels { outcome: outcome.name() }).inc();
     let clock = leadership.host.clock();
     leadership.engine.lock().start_answered(clock, &worker, start.task, start.attempt, outcome);
     if let Some(renewal) = leadership.worker_handles.lock().get(&worker) {
--- a/components/entry/src/leadership/renewal.rs
+++ b/components/entry/src/leadership/renewal.rs
@@ -310,7 +310,7 @@
     // A run end is reported with every renewal until its record is written.
     let fresh = ended.iter().filter(|end| end.number > taken);
     for end in fresh {
-        leadership.host.metrics.ends.get_or_create(&metrics::Outcome { outcome: end.outcome.name() }).inc();
+        leadership.host.metrics.ends.get_or_create(&metrics::OutcomeLabels { outcome: end.outcome.name() }).inc();
         emit!(leadership.host.log, events::RUN_ENDED, "task" => end.task.to_string(), "attempt" => end.attempt,
             "worker" => &target.id, "how" => format!("{:?}", end.outcome), "number" => end.number);
     }
--- a/components/fakes/src/cell.rs
+++ b/components/fakes/src/cell.rs
@@ -248,7 +248,7 @@
             adviser: Some(view.clone()),
             clock: clock::Clock::new(move || cell.host_time(&of)),
         };
-        let host = entry::Host::new(settings, services, events::silent(), metrics::Jobs::default());
+        let host = entry::Host::new(settings, services, events::silent(), metrics::JobMetrics::default());
         entry::spawn(&host, listener);
         Ok(host)
     }
--- a/components/gateway/src/accept.rs
+++ b/components/gateway/src/accept.rs
@@ -90,7 +90,7 @@
         _ => &counts.answered,
     };
     counter.fetch_add(1, Ordering::Relaxed);
-    gateway.metrics.request(&gateway.classes[class].name, team, outcome, received.elapsed());
+    gateway.metrics.record_request(&gateway.classes[class].name, team, outcome, received.elapsed());
 }
 
 type Refused = Box<Response<Body>>;
--- a/components/metrics/src/jobs.rs
+++ b/components/metrics/src/jobs.rs
@@ -11,7 +11,7 @@
 
 /// Labels of a caller's request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Request {
+pub struct RequestLabels {
     /// The queue; `none` where no queue has the path.
     pub queue: String,
     /// The workspace; `none` where the queue is public, or the call wasn't let in.
@@ -24,14 +24,14 @@
 
 /// Labels of a count by outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Outcome {
+pub struct OutcomeLabels {
     /// How it ended.
     pub outcome: &'static str,
 }
 
 /// Labels of a call to the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct StoreCall {
+pub struct StoreCallLabels {
     /// Kind of call.
     pub call: &'static str,
     /// `done`, `refused` or `unknown`.
@@ -40,21 +40,21 @@
 
 /// All metrics of callers' jobs. Clones share the same values.
 #[derive(Clone)]
-pub struct Jobs {
+pub struct JobMetrics {
     /// Callers' requests.
-    pub requests: Family<Request, Counter>,
+    pub requests: Family<RequestLabels, Counter>,
     /// Seconds from a request's receipt to its answer.
     pub request_seconds: Histogram,
     /// Orders to start, by outcome.
-    pub starts: Family<Outcome, Counter>,
+    pub starts: Family<OutcomeLabels, Counter>,
     /// Runs that workers reported as ended, by how.
-    pub ends: Family<Outcome, Counter>,
+    pub ends: Family<OutcomeLabels, Counter>,
     /// Workers whose life is over, by how that was learnt.
-    pub worker_ends: Family<Outcome, Counter>,
+    pub worker_ends: Family<OutcomeLabels, Counter>,
     /// Workers that were back under their former ids.
     pub worker_restarts: Counter,
     /// Runs that went with their workers: `new` if the worker had never listed them, else `shown`.
-    pub lost_runs: Family<Outcome, Counter>,
+    pub lost_runs: Family<OutcomeLabels, Counter>,
     /// Tasks that were given up since their workers went down.
     pub tasks_given_up: Counter,
     /// Jobs that have had nothing running for a while although there is room.
@@ -64,35 +64,35 @@
     /// Seconds that a question to the adviser took, the wait for a free host not counted.
     pub advice_seconds: Histogram,
     /// Questions that wait for a host to ask them.
-    pub questions: Gauge,
+    pub advice_waiting: Gauge,
     /// Calls to the store.
-    pub store_calls: Family<StoreCall, Counter>,
+    pub store_calls: Family<StoreCallLabels, Counter>,
     /// Seconds that a call to the store took.
     pub store_seconds: Histogram,
     /// Entries in the list of workers that name none.
-    pub unusable_entries: Gauge,
+    pub unusable_worker_entries: Gauge,
     /// Version of the configuration in force.
     pub config_version: Gauge,
     /// Term of this host's reign; 0 while another host leads.
-    pub term: Gauge,
+    pub leader_term: Gauge,
     /// Workers that the leader holds.
-    pub workers: Gauge,
+    pub held_workers: Gauge,
     /// Jobs that haven't ended.
     pub live_jobs: Gauge,
     /// Milliseconds since the leader last knew that it leads.
-    pub unconfirmed_ms: Gauge,
+    pub leader_unconfirmed_ms: Gauge,
 }
 
 /// From 1 ms to 65 s.
-fn seconds() -> Histogram {
+fn seconds_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.001, 2.0, 17))
 }
 
-impl Default for Jobs {
+impl Default for JobMetrics {
     fn default() -> Self {
-        Jobs {
+        JobMetrics {
             requests: Family::default(),
-            request_seconds: seconds(),
+            request_seconds: seconds_histogram(),
             starts: Family::default(),
             ends: Family::default(),
             worker_ends: Family::default(),
@@ -100,22 +100,22 @@
             lost_runs: Family::default(),
             tasks_given_up: Counter::default(),
             stalled_jobs: Gauge::default(),
-            job_seconds: seconds(),
-            advice_seconds: seconds(),
-            questions: Gauge::default(),
+            job_seconds: seconds_histogram(),
+            advice_seconds: seconds_histogram(),
+            advice_waiting: Gauge::default(),
             store_calls: Family::default(),
-            store_seconds: seconds(),
-            unusable_entries: Gauge::default(),
+            store_seconds: seconds_histogram(),
+            unusable_worker_entries: Gauge::default(),
             config_version: Gauge::default(),
-            term: Gauge::default(),
-            workers: Gauge::default(),
+            leader_term: Gauge::default(),
+            held_workers: Gauge::default(),
             live_jobs: Gauge::default(),
-            unconfirmed_ms: Gauge::default(),
+            leader_unconfirmed_ms: Gauge::default(),
         }
     }
 }
 
-impl Jobs {
+impl JobMetrics {
     /// Registers all metrics under the prefix `walkhook`.
     pub fn registry(&self) -> Registry {
         let mut registry = Registry::with_prefix("walkhook");
@@ -142,29 +142,37 @@
         );
         registry.register("job_seconds", "From a job's acceptance to its end", self.job_seconds.clone());
         registry.register("advice_seconds", "One question to the adviser", self.advice_seconds.clone());
-        registry.register("advice_waiting", "Questions that wait for a host", self.questions.clone());
+        registry.register("advice_waiting", "Questions that wait for a host", self.advice_waiting.clone());
         registry.register("store_calls", "Calls to the store by kind and outcome", self.store_calls.clone());
         registry.register("store_seconds", "One call to the store", self.store_seconds.clone());
-        registry.register("unusable_worker_entries", "Entries that name no worker", self.unusable_entries.clone());
+        registry.register(
+            "unusable_worker_entries",
+            "Entries that name no worker",
+            self.unusable_worker_entries.clone(),
+        );
         registry.register("config_version", "Configuration in force", self.config_version.clone());
-        registry.register("leader_term", "Term of this host's reign, 0 if it doesn't lead", self.term.clone());
-        registry.register("held_workers", "Workers that the leader holds", self.workers.clone());
+        registry.register("leader_term", "Term of this host's reign, 0 if it doesn't lead", self.leader_term.clone());
+        registry.register("held_workers", "Workers that the leader holds", self.held_workers.clone());
         registry.register("live_jobs", "Jobs that haven't ended", self.live_jobs.clone());
-        registry.register("leader_unconfirmed_ms", "Since the leader knew that it leads", self.unconfirmed_ms.clone());
+        registry.register(
+            "leader_unconfirmed_ms",
+            "Since the leader knew that it leads",
+            self.leader_unconfirmed_ms.clone(),
+        );
         registry
     }
 
     /// Counts a caller's request.
-    pub fn request(&self, queue: &str, workspace: &str, call: &'static str, status: u16, took: Duration) {
+    pub fn record_request(&self, queue: &str, workspace: &str, call: &'static str, status: u16, took: Duration) {
         self.request_seconds.observe(took.as_secs_f64());
         self.requests
-            .get_or_create(&Request { queue: queue.to_owned(), workspace: workspace.to_owned(), call, status })
+            .get_or_create(&RequestLabels { queue: queue.to_owned(), workspace: workspace.to_owned(), call, status })
             .inc();
     }
 
     /// Counts a call to the store.
-    pub fn store(&self, call: &'static str, outcome: &'static str, took: Duration) {
+    pub fn record_store_call(&self, call: &'static str, outcome: &'static str, took: Duration) {
         self.store_seconds.observe(took.as_secs_f64());
-        self.store_calls.get_or_create(&StoreCall { call, outcome }).inc();
+        self.store_calls.get_or_create(&StoreCallLabels { call, outcome }).inc();
     }
 }
--- a/components/metrics/src/lib.rs
+++ b/components/metrics/src/lib.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-pub use jobs::{Jobs, Outcome};
+pub use jobs::{JobMetrics, OutcomeLabels};
 
 use prometheus_client::encoding::{EncodeLabelSet, text};
 use prometheus_client::metrics::counter::Counter;
@@ -15,7 +15,7 @@
 
 /// Labels of a request's outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Request {
+pub struct RequestLabels {
     /// Class from the settings.
     pub class: String,
     /// Team that sent it.
@@ -26,7 +26,7 @@
 
 /// Labels of a histogram by class and team.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Tenant {
+pub struct TenantLabels {
     /// Class of request, or kind of workload.
     pub class: String,
     /// Team.
@@ -35,7 +35,7 @@
 
 /// Label of a count by use.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Usage {
+pub struct UsageLabels {
     /// What for.
     pub usage: &'static str,
 }
@@ -46,17 +46,17 @@
 #[derive(Clone)]
 pub struct Metrics {
     /// Requests by outcome.
-    pub requests: Family<Request, Counter>,
+    pub requests: Family<RequestLabels, Counter>,
     /// Seconds from receipt to the head of the answer.
-    pub request_seconds: Histograms<Tenant>,
+    pub request_seconds: Histograms<TenantLabels>,
     /// Seconds from acceptance of a task to its start.
-    pub start_seconds: Histograms<Tenant>,
+    pub start_seconds: Histograms<TenantLabels>,
     /// Seconds that one placement decision took.
     pub decision_seconds: Histogram,
     /// Calls to the platform.
-    pub platform_calls: Family<Usage, Counter>,
+    pub platform_calls: Family<UsageLabels, Counter>,
     /// Bytes sent and received between entry hosts.
-    pub control_bytes: Family<Usage, Counter>,
+    pub control_bytes: Family<UsageLabels, Counter>,
     /// Workers held here.
     pub workers: Gauge,
     /// Processor time of this process, in milliseconds.
@@ -66,7 +66,7 @@
 }
 
 /// From 50 µs to 27 minutes.
-fn seconds() -> Histogram {
+fn seconds_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.000_05, 2.0, 25))
 }
 
@@ -74,8 +74,8 @@
     fn default() -> Self {
         Metrics {
             requests: Family::default(),
-            request_seconds: Family::new_with_constructor(seconds),
-            start_seconds: Family::new_with_constructor(seconds),
+            request_seconds: Family::new_with_constructor(seconds_histogram),
+            start_seconds: Family::new_with_constructor(seconds_histogram),
             decision_seconds: Histogram::new(exponential_buckets(0.000_000_5, 2.0, 20)),
             platform_calls: Family::default(),
             control_bytes: Family::default(),
@@ -103,16 +103,16 @@
     }
 
     /// Counts bytes between entry hosts.
-    pub fn control(&self, usage: &'static str, bytes: usize) {
-        self.control_bytes.get_or_create(&Usage { usage }).inc_by(bytes as u64);
+    pub fn record_control_bytes(&self, usage: &'static str, bytes: usize) {
+        self.control_bytes.get_or_create(&UsageLabels { usage }).inc_by(bytes as u64);
     }
 
     /// Records a request's end.
-    pub fn request(&self, class: &str, team: &str, outcome: &'static str, took: Duration) {
+    pub fn record_request(&self, class: &str, team: &str, outcome: &'static str, took: Duration) {
         let (class, team) = (class.to_owned(), team.to_owned());
-        let tenant = Tenant { class: class.clone(), team: team.clone() };
-        self.request_seconds.get_or_create(&tenant).observe(took.as_secs_f64());
-        self.requests.get_or_create(&Request { class, team, outcome }).inc();
+        let labels = TenantLabels { class: class.clone(), team: team.clone() };
+        self.request_seconds.get_or_create(&labels).observe(took.as_secs_f64());
+        self.requests.get_or_create(&RequestLabels { class, team, outcome }).inc();
     }
 }
 
--- a/components/node/src/membership.rs
+++ b/components/node/src/membership.rs
@@ -267,7 +267,7 @@
     for target in shared.membership.targets(&shared.settings.seeds, now) {
         // Errors are ignored because the next digest makes up for a lost one.
         let _ = socket.send_to(&bytes, target).await;
-        shared.metrics.control("digest_sent", bytes.len());
+        shared.metrics.record_control_bytes("digest_sent", bytes.len());
     }
 }
 
@@ -292,7 +292,7 @@
     let mut buffer = vec![0; wire::MAX_DATAGRAM];
     loop {
         let Ok((length, peer)) = socket.recv_from(&mut buffer).await else { continue };
-        shared.metrics.control("digest_received", length);
+        shared.metrics.record_control_bytes("digest_received", length);
         match wire::open::<Digest>(shared.peer_client.key(), &buffer[..length]) {
             Ok(digest) if digest.cell == shared.settings.cell => handle_digest(&shared, &digest),
             Ok(_) => {}
--- a/components/node/src/operators.rs
+++ b/components/node/src/operators.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-use api::{Command, Health, Operators, Outcome};
+use api::{Command, Health, OperatorHandler, Outcome};
 use async_trait::async_trait;
 use member::Presence;
 use model::CommandId;
@@ -25,7 +25,7 @@
 }
 
 #[async_trait]
-impl Operators for OperatorApi {
+impl OperatorHandler for OperatorApi {
     async fn execute(&self, command: Command) -> Outcome {
         commands::execute(&self.shared, command).await
     }
--- a/components/node/src/owner.rs
+++ b/components/node/src/owner.rs
@@ -194,7 +194,8 @@
 fn record_wait(shared: &Shared, task: &Id, waited: Duration) {
     let Some(versioned) = shared.configuration.workload(&task.workload) else { return };
     let workload = &versioned.record.workload;
-    let tenant = metrics::Tenant { class: format!("{:?}", workload.kind).to_lowercase(), team: workload.team.clone() };
+    let tenant =
+        metrics::TenantLabels { class: format!("{:?}", workload.kind).to_lowercase(), team: workload.team.clone() };
     shared.metrics.start_seconds.get_or_create(&tenant).observe(waited.as_secs_f64());
 }
 
--- a/components/node/src/peers.rs
+++ b/components/node/src/peers.rs
@@ -78,10 +78,10 @@
 
     async fn send_over(&self, stream: &mut TcpStream, request: &Request) -> std::io::Result<Answer> {
         let sent = wire::write(stream, &self.key, request).await?;
-        self.metrics.control("peer_sent", sent);
+        self.metrics.record_control_bytes("peer_sent", sent);
         let answer = wire::read(stream, &self.key).await?;
         let (answer, received) = answer.ok_or(std::io::ErrorKind::UnexpectedEof)?;
-        self.metrics.control("peer_received", received);
+        self.metrics.record_control_bytes("peer_received", received);
         Ok(answer)
     }
 
--- a/components/node/src/usage.rs
+++ b/components/node/src/usage.rs
@@ -25,7 +25,7 @@
         }
         let counts = shared.budget.counts();
         for (index, usage) in Use::ALL.into_iter().enumerate() {
-            let label = metrics::Usage { usage: usage.name() };
+            let label = metrics::UsageLabels { usage: usage.name() };
             shared.metrics.platform_calls.get_or_create(&label).inc_by(counts[index] - previous_counts[index]);
         }
         previous_counts = counts;
--- a/components/query/src/lib.rs
+++ b/components/query/src/lib.rs
@@ -9,6 +9,6 @@
 mod statement;
 mod table;
 
-pub use parse::{Fault, parse, parse_one};
+pub use parse::{ParseError, parse, parse_one};
 pub use statement::{Assignment, Condition, Operator, Statement, Subject, Topic};
 pub use table::{Table, filter};
--- a/components/query/src/parse.rs
+++ b/components/query/src/parse.rs
@@ -21,7 +21,7 @@
 /// A mistake, shown with its place in the statement and what was expected there.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{shown}")]
-pub struct Fault {
+pub struct ParseError {
     /// Byte at which the mistake stands.
     pub at: usize,
     /// The text for a person.
@@ -29,23 +29,23 @@
 }
 
 /// Reads a script: statements separated by `;`.
-pub fn parse(text: &str) -> Result<Vec<Statement>, Fault> {
+pub fn parse(text: &str) -> Result<Vec<Statement>, ParseError> {
     let mut pairs = Grammar::parse(Rule::script, text).map_err(fault)?;
     let Some(script) = pairs.next() else { return Ok(Vec::new()) };
     Ok(script.into_inner().filter(|pair| pair.as_rule() != Rule::EOI).map(statement).collect())
 }
 
 /// Reads exactly one statement.
-pub fn parse_one(text: &str) -> Result<Statement, Fault> {
+pub fn parse_one(text: &str) -> Result<Statement, ParseError> {
     let mut statements = parse(text)?;
     if statements.len() != 1 {
         let shown = format!("expected one statement, found {}", statements.len());
-        return Err(Fault { at: 0, shown });
+        return Err(ParseError { at: 0, shown });
     }
     Ok(statements.remove(0))
 }
 
-fn fault(fault: pest::error::Error<Rule>) -> Fault {
+fn fault(fault: pest::error::Error<Rule>) -> ParseError {
     let at = match fault.location {
         InputLocation::Pos(at) | InputLocation::Span((at, _)) => at,
     };
@@ -53,7 +53,7 @@
     let shown = match &fault.variant {
         ErrorVariant::ParsingError { .. } | ErrorVariant::CustomError { .. } => fault.to_string(),
     };
-    Fault { at, shown }
+    ParseError { at, shown }
 }
 
 /// What a person would call a rule of the grammar.
--- a/components/settings/src/check.rs
+++ b/components/settings/src/check.rs
@@ -7,21 +7,21 @@
 use model::workload::Priority;
 use serde_saphyr::Spanned;
 
-use crate::tree::{self, Fault, Faults, Node, Section, Sink};
+use crate::tree::{self, Diagnostic, Node, Section, SettingsError, Sink};
 use crate::{Class, Level, Listen, Membership, Platform, Requests, Settings, Tasks};
 
 const SHORTEST_KEY: usize = 16;
 /// Renewals and digests that may be lost in a row before a lease or a host is given up.
 const LOSSES: u32 = 3;
 
-pub(crate) fn settings(file: &str, text: &str) -> Result<Settings, Faults> {
-    let all = |faults| Faults { file: file.to_owned(), faults };
+pub(crate) fn settings(file: &str, text: &str) -> Result<Settings, SettingsError> {
+    let all = |faults| SettingsError { file: file.to_owned(), faults };
     let root: Spanned<Node> = match serde_saphyr::from_str(text) {
         Ok(root) => root,
         Err(fault) => {
             let line = fault.location().map_or(1, |location| location.line());
             let message = format!("not readable as YAML: {fault}");
-            return Err(all(vec![Fault { line, field: "(file)".to_owned(), message }]));
+            return Err(all(vec![Diagnostic { line, field: "(file)".to_owned(), message }]));
         }
     };
     let sink = Sink::default();
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -13,7 +13,7 @@
 use model::workload::Priority;
 use model::{CellId, ClassId, DataCentreId, HostId, Partition, WorkloadId};
 
-pub use tree::{Fault, Faults};
+pub use tree::{Diagnostic, SettingsError};
 
 /// Everything that `walkhookd` is told.
 #[derive(Clone, Debug, PartialEq)]
@@ -142,6 +142,6 @@
 }
 
 /// Reads and checks settings. `file` names the source in the faults.
-pub fn parse(file: &str, text: &str) -> Result<Settings, Faults> {
+pub fn parse(file: &str, text: &str) -> Result<Settings, SettingsError> {
     check::settings(file, text)
 }
--- a/components/settings/src/tree.rs
+++ b/components/settings/src/tree.rs
@@ -14,7 +14,7 @@
 
 /// One thing that is wrong.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Fault {
+pub struct Diagnostic {
     /// Line in the file, from 1.
     pub line: u64,
     /// Path of the field, such as `listen.callers`.
@@ -25,14 +25,14 @@
 
 /// All that is wrong with a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Faults {
+pub struct SettingsError {
     /// The file.
     pub file: String,
     /// In the order of their lines.
-    pub faults: Vec<Fault>,
+    pub faults: Vec<Diagnostic>,
 }
 
-impl fmt::Display for Faults {
+impl fmt::Display for SettingsError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (position, fault) in self.faults.iter().enumerate() {
             let end = if position + 1 < self.faults.len() { "\n" } else { "" };
@@ -42,7 +42,7 @@
     }
 }
 
-impl std::error::Error for Faults {}
+impl std::error::Error for SettingsError {}
 
 /// A YAML value.
 #[derive(Clone, Debug)]
@@ -113,16 +113,16 @@
     }
 }
 
-/// Faults found so far.
+/// SettingsError found so far.
 #[derive(Default)]
-pub(crate) struct Sink(RefCell<Vec<Fault>>);
+pub(crate) struct Sink(RefCell<Vec<Diagnostic>>);
 
 impl Sink {
     pub(crate) fn push(&self, line: u64, field: impl Into<String>, message: impl ToString) {
-        self.0.borrow_mut().push(Fault { line, field: field.into(), message: message.to_string() });
+        self.0.borrow_mut().push(Diagnostic { line, field: field.into(), message: message.to_string() });
     }
 
-    pub(crate) fn into_faults(self) -> Vec<Fault> {
+    pub(crate) fn into_faults(self) -> Vec<Diagnostic> {
         let mut faults = self.0.into_inner();
         faults.sort();
         faults.dedup();
