--- a/components/console/src/lib.rs
+++ b/components/console/src/lib.rs
@@ -1,7 +1,5 @@
-//! The product's own interface for callers' jobs: submit, explain, cancel; queues, the leader, and the metrics.
-
-// Off until its wording is done.
-#![allow(clippy::missing_errors_doc, clippy::missing_panics_doc)]
+//! The operators' HTTP interface for jobs: submits, explains and cancels jobs, and shows queues, workspaces, the leader
+//! and the metrics.
 
 mod server;
 mod types;
--- a/components/console/src/server.rs
+++ b/components/console/src/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server of the interface.
+//! The HTTP server and its endpoints.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,158 +17,176 @@
 
 use crate::types::{Host, Job, Queue, Submission, Workspace};
 
-/// How long an operator's request may wait for the leader.
-const PATIENCE: Duration = Duration::from_secs(3);
-/// Largest body, in bytes: the largest job that is taken has some 10 KB.
-const MAX_BODY: usize = 256 * 1024;
+/// Most time that an operator's request waits for the leader.
+const LEADER_TIMEOUT: Duration = Duration::from_secs(3);
+/// Largest request body. The largest job that is accepted takes about 10 KB.
+const MAX_BODY_BYTES: usize = 256 * 1024;
 
-/// What stands behind the interface.
+/// State that the endpoints share.
 pub struct Console {
-    /// The host.
     pub host: Arc<entry::Host>,
-    /// Its metrics.
+    /// Metrics of the host.
     pub registry: Registry,
 }
 
 type Context = Arc<Console>;
 
-/// A server that runs until it is closed.
+/// Handle of a running server.
 pub type Server = HttpServer<Context>;
 
-/// Starts the server. It ends when the returned handle is closed.
+/// Starts the server. It runs until the returned handle is closed.
+///
+/// # Errors
+///
+/// Fails if the endpoints can't be registered or the address can't be bound.
 pub fn start(address: SocketAddr, console: Context, log: &Logger) -> Result<Server, String> {
-    let config =
-        ConfigDropshot { bind_address: address, default_request_body_max_bytes: MAX_BODY, ..ConfigDropshot::default() };
-    ServerBuilder::new(description()?, console, log.clone()).config(config).start().map_err(|fault| fault.to_string())
+    let config = ConfigDropshot {
+        bind_address: address,
+        default_request_body_max_bytes: MAX_BODY_BYTES,
+        ..ConfigDropshot::default()
+    };
+    ServerBuilder::new(description()?, console, log.clone()).config(config).start().map_err(|error| error.to_string())
 }
 
-/// The interface, for the server and for its OpenAPI document.
+/// Returns all endpoints, for the server and for an OpenAPI document.
+///
+/// # Errors
+///
+/// Fails if dropshot rejects an endpoint.
 pub fn description() -> Result<ApiDescription<Context>, String> {
     let mut api = ApiDescription::new();
-    let fault = |fault: dropshot::ApiDescriptionRegisterError| fault.to_string();
-    api.register(explain).map_err(fault)?;
-    api.register(submit).map_err(fault)?;
-    api.register(cancel).map_err(fault)?;
-    api.register(queues).map_err(fault)?;
-    api.register(workspaces).map_err(fault)?;
-    api.register(host).map_err(fault)?;
-    api.register(metrics).map_err(fault)?;
+    let to_message = |error: dropshot::ApiDescriptionRegisterError| error.to_string();
+    api.register(explain).map_err(to_message)?;
+    api.register(submit).map_err(to_message)?;
+    api.register(cancel).map_err(to_message)?;
+    api.register(queues).map_err(to_message)?;
+    api.register(workspaces).map_err(to_message)?;
+    api.register(host).map_err(to_message)?;
+    api.register(metrics).map_err(to_message)?;
     Ok(api)
 }
 
 #[derive(Debug, Deserialize, JsonSchema)]
-struct Id {
+struct JobPath {
     /// 16 hexadecimal digits.
     id: String,
 }
 
-impl Id {
-    fn job(&self) -> Result<work::JobId, HttpError> {
-        let fault = || HttpError::for_bad_request(None, format!("`{}` is not 16 hexadecimal digits", self.id));
-        work::parse_job_id(&self.id).ok_or_else(fault)
+impl JobPath {
+    fn job_id(&self) -> Result<work::JobId, HttpError> {
+        let invalid = || HttpError::for_bad_request(None, format!("`{}` is not 16 hexadecimal digits", self.id));
+        work::parse_job_id(&self.id).ok_or_else(invalid)
     }
 }
 
-async fn ask(console: &Console, call: Call) -> Answer {
-    console.host.ask(call, Instant::now() + PATIENCE).await
+async fn call_leader(console: &Console, call: Call) -> Answer {
+    console.host.ask(call, Instant::now() + LEADER_TIMEOUT).await
 }
 
-fn no_leader() -> HttpError {
-    HttpError::for_unavail(None, "no leader answers; nothing was done".to_owned())
+fn no_leader_error() -> HttpError {
+    HttpError::for_unavail(None, "no leader responds; nothing was done".to_owned())
 }
 
-fn unknown() -> HttpError {
-    let text = "what became of it is not known".to_owned();
-    HttpError::for_client_error(None, dropshot::ClientErrorStatusCode::CONFLICT, text)
+fn unknown_outcome_error() -> HttpError {
+    let message = "the outcome is not known".to_owned();
+    HttpError::for_client_error(None, dropshot::ClientErrorStatusCode::CONFLICT, message)
 }
 
-fn not_found(what: String) -> HttpError {
-    HttpError::for_client_error(None, dropshot::ClientErrorStatusCode::NOT_FOUND, what)
+fn not_found_error(message: String) -> HttpError {
+    HttpError::for_client_error(None, dropshot::ClientErrorStatusCode::NOT_FOUND, message)
 }
 
-fn no_such_job() -> HttpError {
-    not_found("no such job".to_owned())
+fn no_such_job_error() -> HttpError {
+    not_found_error("no such job".to_owned())
 }
 
-/// How a job stands, and why.
+/// Returns the state of a job and the reasons for it.
 #[endpoint { method = GET, path = "/jobs/{id}" }]
-async fn explain(context: RequestContext<Context>, path: Path<Id>) -> Result<HttpResponseOk<Job>, HttpError> {
+async fn explain(context: RequestContext<Context>, path: Path<JobPath>) -> Result<HttpResponseOk<Job>, HttpError> {
     let path = path.into_inner();
-    let id = path.job()?;
-    match ask(context.context(), Call::Explain { id }).await {
+    let id = path.job_id()?;
+    match call_leader(context.context(), Call::Explain { id }).await {
         Answer::Explanation(Some(explanation)) => Ok(HttpResponseOk(Job { id: path.id, explanation })),
-        Answer::Explanation(None) => Err(no_such_job()),
-        _ => Err(no_leader()),
+        Answer::Explanation(None) => Err(no_such_job_error()),
+        _ => Err(no_leader_error()),
     }
 }
 
-/// Submits a job. The same id again stays the same job.
+/// Submits a job. Submitting an id again doesn't create another job.
 #[endpoint { method = PUT, path = "/jobs/{id}" }]
 async fn submit(
     context: RequestContext<Context>,
-    path: Path<Id>,
+    path: Path<JobPath>,
     body: TypedBody<Submission>,
 ) -> Result<HttpResponseUpdatedNoContent, HttpError> {
-    let id = path.into_inner().job()?;
+    let id = path.into_inner().job_id()?;
     let submission = body.into_inner();
-    let job = submission.job();
-    job.check().map_err(|fault| HttpError::for_bad_request(None, fault.to_string()))?;
+    let job = submission.to_job();
+    job.check().map_err(|error| HttpError::for_bad_request(None, error.to_string()))?;
     let console = context.context();
     if console.host.config().queue(&submission.queue).is_none() {
-        return Err(not_found(format!("there is no queue `{}`", submission.queue)));
+        return Err(not_found_error(format!("there is no queue `{}`", submission.queue)));
     }
-    let call =
-        Call::Submit { caller: Caller::Operator, queue: submission.queue, id, job: Box::new(job), wait: PATIENCE };
-    match ask(console, call).await {
+    let call = Call::Submit {
+        caller: Caller::Operator,
+        queue: submission.queue,
+        id,
+        job: Box::new(job),
+        wait: LEADER_TIMEOUT,
+    };
+    match call_leader(console, call).await {
         Answer::Accepted => Ok(HttpResponseUpdatedNoContent()),
-        Answer::Refused(after) => Err(HttpError::for_unavail(
+        Answer::Refused(retry_after) => Err(HttpError::for_unavail(
             None,
-            format!("not accepted, and it never runs; try again after {} s", after.as_secs().max(1)),
+            format!("job not accepted, and it never runs; retry after {} s", retry_after.as_secs().max(1)),
         )),
-        Answer::NotLeader => Err(no_leader()),
-        _ => Err(unknown()),
+        Answer::NotLeader => Err(no_leader_error()),
+        _ => Err(unknown_outcome_error()),
     }
 }
 
 /// Cancels a job.
 #[endpoint { method = DELETE, path = "/jobs/{id}" }]
-async fn cancel(context: RequestContext<Context>, path: Path<Id>) -> Result<HttpResponseDeleted, HttpError> {
-    let id = path.into_inner().job()?;
-    match ask(context.context(), Call::Cancel { caller: Caller::Operator, id, wait: PATIENCE }).await {
+async fn cancel(context: RequestContext<Context>, path: Path<JobPath>) -> Result<HttpResponseDeleted, HttpError> {
+    let id = path.into_inner().job_id()?;
+    match call_leader(context.context(), Call::Cancel { caller: Caller::Operator, id, wait: LEADER_TIMEOUT }).await {
         Answer::Cancelled(true) => Ok(HttpResponseDeleted()),
-        Answer::Cancelled(false) => Err(no_such_job()),
-        Answer::NotLeader => Err(no_leader()),
-        _ => Err(unknown()),
+        Answer::Cancelled(false) => Err(no_such_job_error()),
+        Answer::NotLeader => Err(no_leader_error()),
+        _ => Err(unknown_outcome_error()),
     }
 }
 
-/// The queues of the configuration in force.
+/// Lists the queues of the configuration in force.
 #[endpoint { method = GET, path = "/queues" }]
 async fn queues(context: RequestContext<Context>) -> Result<HttpResponseOk<Vec<Queue>>, HttpError> {
     let console = context.context();
-    let mut found = Vec::new();
+    let mut queue_list = Vec::new();
     for queue in &console.host.config().queues {
-        let waiting = match ask(console, Call::Waiting { caller: Caller::Operator, queue: queue.name.clone() }).await {
-            Answer::Waiting(waiting) => Some(waiting),
-            _ => None,
-        };
+        let waiting =
+            match call_leader(console, Call::Waiting { caller: Caller::Operator, queue: queue.name.clone() }).await {
+                Answer::Waiting(waiting) => Some(waiting),
+                _ => None,
+            };
         let (name, pool) = (queue.name.clone(), queue.pool.clone());
-        found.push(Queue { name, pool, priority: queue.priority, waiting });
+        queue_list.push(Queue { name, pool, priority: queue.priority, waiting });
     }
-    Ok(HttpResponseOk(found))
+    Ok(HttpResponseOk(queue_list))
 }
 
-/// All workspaces: their limits, what they use of them, and what waits. Keys are counted, never shown.
+/// Lists all workspaces with their limits, usage and waiting work. Keys are only counted, never shown.
 #[endpoint { method = GET, path = "/workspaces" }]
 async fn workspaces(context: RequestContext<Context>) -> Result<HttpResponseOk<Vec<Workspace>>, HttpError> {
     let console = context.context();
-    let Answer::Workspaces(standing) = ask(console, Call::Workspaces).await else { return Err(no_leader()) };
+    let Answer::Workspaces(standing) = call_leader(console, Call::Workspaces).await else {
+        return Err(no_leader_error());
+    };
     let config = console.host.config();
     let shown = standing.into_iter().map(|standing| Workspace::new(standing, &config));
     Ok(HttpResponseOk(shown.collect()))
 }
 
-/// The host that is asked: its configuration, and who leads.
+/// Returns the configuration version of this host and the leader that it knows.
 #[endpoint { method = GET, path = "/host" }]
 async fn host(context: RequestContext<Context>) -> Result<HttpResponseOk<Host>, HttpError> {
     let host = &context.context().host;
@@ -181,7 +199,7 @@
     Ok(HttpResponseOk(Host { host: name, config, leader, term }))
 }
 
-/// The metrics, in the text format of Prometheus.
+/// Returns the metrics in the text format of Prometheus.
 #[endpoint { method = GET, path = "/metrics" }]
 async fn metrics(context: RequestContext<Context>) -> Result<Response<Body>, HttpError> {
     let text = ::metrics::encode(&context.context().registry);
@@ -189,5 +207,5 @@
         .status(StatusCode::OK)
         .header(http::header::CONTENT_TYPE, "text/plain; version=0.0.4")
         .body(Body::from(text))
-        .map_err(|fault| HttpError::for_internal_error(fault.to_string()))
+        .map_err(|error| HttpError::for_internal_error(error.to_string()))
 }
--- a/components/console/src/types.rs
+++ b/components/console/src/types.rs
@@ -1,4 +1,4 @@
-//! What the interface takes and tells, as JSON.
+//! JSON bodies of requests and responses.
 
 use std::time::Duration;
 
@@ -10,52 +10,52 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Submission {
-    /// Name of its queue.
+    /// Name of the queue.
     pub queue: String,
-    /// Text for the workers.
+    /// Text that is passed to the workers.
     #[serde(default)]
     pub specification: String,
-    /// Its steps.
+    /// The steps of the job.
     pub steps: Vec<Step>,
 }
 
-/// Equal tasks of a job.
+/// A step of a job: a number of equal tasks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Step {
     /// Number of tasks.
     pub count: u32,
-    /// What each takes of its worker.
+    /// Resources that each task needs.
     pub need: Resources,
-    /// Guess of a task's run time, in milliseconds.
+    /// Estimated run time of a task, in milliseconds.
     #[serde(default)]
     pub estimate_ms: u64,
-    /// Earlier steps that must be done before.
+    /// Earlier steps that must be done first.
     #[serde(default)]
     pub after: Vec<u16>,
-    /// Whether its tasks run only all together.
+    /// Whether the tasks run only all at once.
     #[serde(default)]
     pub gang: bool,
-    /// Whether its tasks save their progress.
+    /// Whether the tasks save their progress.
     #[serde(default)]
     pub checkpoints: bool,
     /// Label that a worker must have; empty for any.
     #[serde(default)]
     pub label: String,
-    /// Rack of its data; empty for none.
+    /// Rack that holds the data; empty for none.
     #[serde(default)]
     pub rack: String,
-    /// Most of its tasks on one worker; 0 for any number.
+    /// Most tasks of the step on one worker; 0 for no limit.
     #[serde(default)]
     pub spread: u32,
 }
 
-/// A job that was found.
+/// State of a job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 pub struct Job {
-    /// Its id.
+    /// Job id: 16 hexadecimal digits.
     pub id: String,
-    /// How it stands, and why.
+    /// State of the job and the reasons for it.
     #[serde(flatten)]
     pub explanation: sched::Explanation,
 }
@@ -63,27 +63,27 @@
 /// A queue of the configuration in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 pub struct Queue {
-    /// Its name.
+    /// Name of the queue.
     pub name: String,
-    /// Its pool of workers.
+    /// Pool of workers that the queue uses.
     pub pool: String,
-    /// 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Accepted jobs none of whose tasks has begun; none while no leader answers.
+    /// Accepted jobs none of whose tasks has started; `null` while no leader responds.
     pub waiting: Option<usize>,
 }
 
-/// A workspace.
+/// State of a workspace.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 pub struct Workspace {
-    /// How it stands.
+    /// Limits, usage and waiting work.
     #[serde(flatten)]
     pub standing: sched::Workspace,
-    /// Whether the configuration in force names it. Jobs of one that it doesn't name any more go on.
+    /// Whether the configuration in force has the workspace. Jobs of a removed workspace go on.
     pub configured: bool,
-    /// Jobs a second that are its share.
+    /// The workspace's share, in jobs per second.
     pub weight: f64,
-    /// How many keys it has.
+    /// Number of API keys.
     pub keys: usize,
 }
 
@@ -99,22 +99,22 @@
     }
 }
 
-/// The host that was asked.
+/// State of the host that answers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 pub struct Host {
-    /// Its name.
+    /// Name of the host.
     pub host: String,
-    /// Version of the configuration in force here.
+    /// Version of the configuration in force on this host.
     pub config: u64,
-    /// Who leads, as far as it knows.
+    /// The leader, as far as this host knows.
     pub leader: Option<String>,
     /// The leader's term.
     pub term: Option<u64>,
 }
 
 impl Submission {
-    /// The job in the product's types.
-    pub(crate) fn job(&self) -> work::Job {
+    /// Converts the submission to the job type of the scheduler.
+    pub(crate) fn to_job(&self) -> work::Job {
         let steps = self.steps.iter().map(|step| work::Step {
             count: step.count,
             need: step.need,
