--- a/components/board/src/lib.rs
+++ b/components/board/src/lib.rs
@@ -134,8 +134,8 @@
         }
     }
 
-    /// Applies a delta and returns whether it was applied. A delta that is not newer than this map, or that starts after
-    /// this map's version and so would leave a gap, changes nothing.
+    /// Applies a delta and returns whether it was applied. A delta that is not newer than this map, or that starts
+    /// after this map's version and so would leave a gap, changes nothing.
     pub fn apply(&mut self, delta: Delta<K, V>) -> bool {
         if delta.version <= self.version || delta.since > self.version {
             return false;
--- a/components/metrics/src/jobs.rs
+++ b/components/metrics/src/jobs.rs
@@ -1,4 +1,4 @@
-//! The metrics of an entry host that serves callers' jobs.
+//! Metrics of an entry host that schedules callers' jobs.
 
 use std::time::Duration;
 
@@ -12,20 +12,19 @@
 /// Labels of a caller's request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RequestLabels {
-    /// The queue; `none` where no queue has the path.
+    /// Name of the queue; `none` if no queue has the path.
     pub queue: String,
-    /// The workspace; `none` where the queue is public, or the call wasn't let in.
+    /// Name of the workspace; `none` if the queue is public or the call was not admitted.
     pub workspace: String,
-    /// What was asked: `submit`, `state`, `cancel`, `waiting`, `other`.
+    /// Kind of request: `submit`, `state`, `cancel`, `waiting` or `other`.
     pub call: &'static str,
-    /// HTTP status of the answer.
+    /// HTTP status of the response.
     pub status: u16,
 }
 
-/// Labels of a count by outcome.
+/// Label of a counter by outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct OutcomeLabels {
-    /// How it ended.
     pub outcome: &'static str,
 }
 
@@ -38,52 +37,52 @@
     pub outcome: &'static str,
 }
 
-/// All metrics of callers' jobs. Clones share the same values.
+/// All metrics of callers' jobs. Clones share their values.
 #[derive(Clone)]
 pub struct JobMetrics {
-    /// Callers' requests.
+    /// Callers' requests by queue, workspace, kind and status.
     pub requests: Family<RequestLabels, Counter>,
-    /// Seconds from a request's receipt to its answer.
+    /// Seconds from the receipt of a request to its response.
     pub request_seconds: Histogram,
-    /// Orders to start, by outcome.
+    /// Orders to start a run, by outcome.
     pub starts: Family<OutcomeLabels, Counter>,
-    /// Runs that workers reported as ended, by how.
+    /// Runs that workers reported as ended, by outcome.
     pub ends: Family<OutcomeLabels, Counter>,
-    /// Workers whose life is over, by how that was learnt.
+    /// Worker incarnations that ended, by how the leader learnt of it.
     pub worker_ends: Family<OutcomeLabels, Counter>,
-    /// Workers that were back under their former ids.
+    /// Workers that restarted under their former id.
     pub worker_restarts: Counter,
-    /// Runs that went with their workers: `new` if the worker had never listed them, else `shown`.
+    /// Runs lost with their workers: `shown` if the worker had listed the run before, else `new`.
     pub lost_runs: Family<OutcomeLabels, Counter>,
-    /// Tasks that were given up since their workers went down.
+    /// Tasks given up because their workers went down.
     pub tasks_given_up: Counter,
-    /// Jobs that have had nothing running for a while although there is room.
+    /// Jobs that have had no running tasks for a while although resources are free.
     pub stalled_jobs: Gauge,
     /// Seconds from a job's acceptance to its end.
     pub job_seconds: Histogram,
-    /// Seconds that a question to the adviser took, the wait for a free host not counted.
+    /// Seconds that a request to the adviser took, without the wait for a host that can send it.
     pub advice_seconds: Histogram,
-    /// Questions that wait for a host to ask them.
+    /// Requests to the adviser that wait for a host that can send them.
     pub advice_waiting: Gauge,
     /// Calls to the store.
     pub store_calls: Family<StoreCallLabels, Counter>,
     /// Seconds that a call to the store took.
     pub store_seconds: Histogram,
-    /// Entries in the list of workers that name none.
+    /// Invalid entries in the list of workers.
     pub unusable_worker_entries: Gauge,
     /// Version of the configuration in force.
     pub config_version: Gauge,
-    /// Term of this host's reign; 0 while another host leads.
+    /// Term in which this host leads; 0 while it doesn't lead.
     pub leader_term: Gauge,
     /// Workers that the leader holds.
     pub held_workers: Gauge,
-    /// Jobs that haven't ended.
+    /// Jobs that have not ended.
     pub live_jobs: Gauge,
-    /// Milliseconds since the leader last knew that it leads.
+    /// Milliseconds since the leader's authority was last confirmed.
     pub leader_unconfirmed_ms: Gauge,
 }
 
-/// From 1 ms to 65 s.
+/// Histogram with buckets from 1 ms to 65 s.
 fn seconds_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.001, 2.0, 17))
 }
@@ -162,7 +161,7 @@
         registry
     }
 
-    /// Counts a caller's request.
+    /// Records a caller's request and how long it took.
     pub fn record_request(&self, queue: &str, workspace: &str, call: &'static str, status: u16, took: Duration) {
         self.request_seconds.observe(took.as_secs_f64());
         self.requests
@@ -170,7 +169,7 @@
             .inc();
     }
 
-    /// Counts a call to the store.
+    /// Records a call to the store and how long it took.
     pub fn record_store_call(&self, call: &'static str, outcome: &'static str, took: Duration) {
         self.store_seconds.observe(took.as_secs_f64());
         self.store_calls.get_or_create(&StoreCallLabels { call, outcome }).inc();
--- a/components/metrics/src/lib.rs
+++ b/components/metrics/src/lib.rs
@@ -1,4 +1,4 @@
-//! The metrics of an entry host, in the text format of Prometheus.
+//! Metrics of an entry host, encoded in the text format of Prometheus.
 
 mod jobs;
 
@@ -16,48 +16,47 @@
 /// Labels of a request's outcome.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RequestLabels {
-    /// Class from the settings.
+    /// Class of the request, from the settings.
     pub class: String,
-    /// Team that sent it.
+    /// Team that sent the request.
     pub team: String,
-    /// How it ended: `answered`, `not_run`, `unknown`, `refused`.
+    /// `answered`, `not_run`, `unknown` or `refused`.
     pub outcome: &'static str,
 }
 
 /// Labels of a histogram by class and team.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct TenantLabels {
-    /// Class of request, or kind of workload.
+    /// Class of the request, or kind of the workload.
     pub class: String,
-    /// Team.
     pub team: String,
 }
 
-/// Label of a count by use.
+/// Label of a counter by purpose.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct UsageLabels {
-    /// What for.
+    /// Purpose of the call, or kind of the traffic.
     pub usage: &'static str,
 }
 
 type Histograms<L> = Family<L, Histogram, fn() -> Histogram>;
 
-/// All metrics. Clones share the same values.
+/// All metrics of a host that serves callers' requests. Clones share their values.
 #[derive(Clone)]
 pub struct Metrics {
     /// Requests by outcome.
     pub requests: Family<RequestLabels, Counter>,
-    /// Seconds from receipt to the head of the answer.
+    /// Seconds from the receipt of a request to the head of the response.
     pub request_seconds: Histograms<TenantLabels>,
-    /// Seconds from acceptance of a task to its start.
+    /// Seconds from the acceptance of a task to its start.
     pub start_seconds: Histograms<TenantLabels>,
     /// Seconds that one placement decision took.
     pub decision_seconds: Histogram,
-    /// Calls to the platform.
+    /// Calls to the platform by purpose.
     pub platform_calls: Family<UsageLabels, Counter>,
     /// Bytes sent and received between entry hosts.
     pub control_bytes: Family<UsageLabels, Counter>,
-    /// Workers held here.
+    /// Workers held by this host.
     pub workers: Gauge,
     /// Processor time of this process, in milliseconds.
     pub cpu_milliseconds: Gauge,
@@ -65,7 +64,7 @@
     pub resident_bytes: Gauge,
 }
 
-/// From 50 µs to 27 minutes.
+/// Histogram with buckets from 50 µs to 14 minutes.
 fn seconds_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.000_05, 2.0, 25))
 }
@@ -102,12 +101,12 @@
         registry
     }
 
-    /// Counts bytes between entry hosts.
+    /// Counts bytes sent or received between entry hosts.
     pub fn record_control_bytes(&self, usage: &'static str, bytes: usize) {
         self.control_bytes.get_or_create(&UsageLabels { usage }).inc_by(bytes as u64);
     }
 
-    /// Records a request's end.
+    /// Records the end of a request and how long it took.
     pub fn record_request(&self, class: &str, team: &str, outcome: &'static str, took: Duration) {
         let (class, team) = (class.to_owned(), team.to_owned());
         let labels = TenantLabels { class: class.clone(), team: team.clone() };
@@ -116,10 +115,10 @@
     }
 }
 
-/// The registry's metrics as text.
+/// Encodes the metrics of a registry as text.
 pub fn encode(registry: &Registry) -> String {
-    let mut out = String::new();
+    let mut encoded = String::new();
     // Writing to a string can't fail.
-    let _ = text::encode(&mut out, registry);
-    out
+    let _ = text::encode(&mut encoded, registry);
+    encoded
 }
--- a/components/settings/src/lib.rs
+++ b/components/settings/src/lib.rs
@@ -1,11 +1,8 @@
-//! The settings of an entry host: read from a YAML file and checked whole, so that a person sees every fault
-//! at once, each with file, line and field.
+//! The settings of an entry host: reads and validates a YAML file, and reports all errors at once, each with file, line
+//! and field.
 
-// Off until its wording is done.
-#![allow(clippy::missing_errors_doc, clippy::missing_panics_doc)]
-
-mod check;
 mod tree;
+mod validate;
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,133 +12,137 @@
 
 pub use tree::{Diagnostic, SettingsError};
 
-/// Everything that `walkhookd` is told.
+/// All settings of `walkhookd`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The cell that this host belongs to.
+    /// Cell that this host belongs to.
     pub cell: CellId,
-    /// This host's name.
+    /// Name of this host.
     pub host: HostId,
-    /// This host's data centre.
+    /// Data centre of this host.
     pub data_centre: DataCentreId,
     /// All data centres of the cell.
     pub data_centres: Vec<DataCentreId>,
-    /// Own addresses.
+    /// Addresses that this host listens on.
     pub listen: Listen,
-    /// Peer addresses of some other entry hosts; the rest are learnt from these.
+    /// Peer addresses of some other entry hosts, from which this host learns of the rest.
     pub seeds: Vec<SocketAddr>,
-    /// The platform.
+    /// Access to the platform.
     pub platform: Platform,
-    /// Key that the entry hosts and operators of the cell share.
+    /// Secret shared by the entry hosts and operators of the cell.
     pub shared_key: String,
     /// Failure detection among entry hosts.
     pub membership: Membership,
-    /// Tasks and workers.
+    /// Task leases and retention.
     pub tasks: Tasks,
-    /// Callers' requests.
+    /// Limits on callers' requests.
     pub requests: Requests,
     /// Classes of requests.
     pub classes: Vec<Class>,
     /// Longest time that a planned stop waits for requests in flight.
     pub stop_within: Duration,
-    /// Least severe log level written.
+    /// Least severe level that is logged.
     pub log: Level,
 }
 
-/// Own addresses, each by IP number.
+/// Addresses that this host listens on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listen {
-    /// Callers' HTTP.
+    /// HTTP for callers.
     pub callers: SocketAddr,
-    /// Operators' HTTP.
+    /// HTTP for operators.
     pub operators: SocketAddr,
-    /// Other entry hosts, UDP and TCP.
+    /// UDP and TCP for other entry hosts.
     pub peers: SocketAddr,
-    /// Requests relayed by other entry hosts.
+    /// Requests that other entry hosts relay.
     pub relay: SocketAddr,
 }
 
-/// The platform.
+/// Access to the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Platform {
     /// Address of its HTTP gateway.
     pub address: SocketAddr,
-    /// Longest wait for one answer.
+    /// Timeout of one call.
     pub timeout: Duration,
-    /// Calls a second that this host may make.
+    /// Most calls per second that this host makes.
     pub calls_per_second: u32,
 }
 
 /// Failure detection among entry hosts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Membership {
-    /// Time between two digests.
+    /// Interval between digests.
     pub heartbeat: Duration,
-    /// Silence after which a host is taken for dead.
+    /// Time without a digest after which a host is considered dead.
     pub dead_after: Duration,
 }
 
-/// Tasks and workers.
+/// Task leases and retention.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tasks {
-    /// Lease of a task on its worker.
+    /// Duration of the lease of a task on its worker.
     pub lease: Duration,
-    /// Time between two renewals.
+    /// Interval between lease renewals.
     pub renew_every: Duration,
-    /// Partitions of jobs in each data centre; the same at all hosts, for good.
+    /// Number of job partitions in each data centre. Must be the same on all hosts and can never change.
     pub partitions: Partition,
-    /// How long the records of finished and cancelled workloads are kept.
+    /// Retention of the records of finished and cancelled workloads.
     pub keep_finished: Duration,
 }
 
-/// Callers' requests.
+/// Limits on callers' requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Requests {
     /// Largest request body, in bytes.
     pub max_body: u64,
-    /// Open connections from callers.
+    /// Most open connections from callers.
     pub connections: u32,
-    /// Requests that may wait at this host.
+    /// Most requests that wait on this host.
     pub queue: u32,
-    /// Requests that one service instance runs at once.
+    /// Most requests that one service instance runs at once.
     pub slots: u32,
-    /// How long the answer to an unrepeatable request is remembered.
+    /// How long the answer to a non-repeatable request is remembered.
     pub key_window: Duration,
-    /// Largest answer to an unrepeatable request that is remembered whole, in bytes.
+    /// Largest answer to a non-repeatable request that is remembered whole, in bytes.
     pub max_remembered: u64,
 }
 
-/// One class of requests.
+/// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name, in metrics and reasons.
+    /// Name that metrics and reasons show.
     pub name: ClassId,
-    /// Paths that start with this belong to it; the longest match wins.
+    /// Path prefix of the requests in this class; the longest match wins.
     pub path: String,
-    /// The service that answers.
+    /// Service that answers the requests.
     pub service: WorkloadId,
-    /// Its place in the queue.
+    /// Priority in the queue.
     pub priority: Priority,
-    /// Time to answer, unless the caller states less.
+    /// Time limit for the answer, unless the caller states a shorter one.
     pub deadline: Duration,
-    /// Whether a request may run more than once. Those that may not must carry an `Idempotency-Key`.
+    /// Whether a request may run more than once. Other requests must have an `Idempotency-Key` header.
     pub repeatable: bool,
 }
 
 /// Severity of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Level {
-    /// For developers.
+    /// Details for developers.
     Debug,
-    /// Every change of state.
+    /// Regular changes of state.
     Info,
-    /// Something to look at.
+    /// Conditions that an operator may have to look at.
     Warning,
-    /// Something is broken.
+    /// Faults.
     Error,
 }
 
-/// Reads and checks settings. `file` names the source in the faults.
+/// Parses and validates settings. `file` is the name of the source in error messages.
+///
+/// # Errors
+///
+/// Returns all errors in `text`, each with its line and field.
 pub fn parse(file: &str, text: &str) -> Result<Settings, SettingsError> {
-    check::settings(file, text)
+    validate::settings(file, text)
 }
--- a/components/settings/src/tree.rs
+++ b/components/settings/src/tree.rs
@@ -1,4 +1,4 @@
-//! YAML as a tree that knows its lines, and a reader that gathers faults instead of stopping at the first.
+//! A YAML tree with line numbers, and a reader that collects errors instead of stopping at the first.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -12,31 +12,31 @@
 use serde::{Deserialize, Deserializer};
 use serde_saphyr::Spanned;
 
-/// One thing that is wrong.
+/// One error in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Diagnostic {
-    /// Line in the file, from 1.
+    /// Line in the file, starting at 1.
     pub line: u64,
     /// Path of the field, such as `listen.callers`.
     pub field: String,
-    /// What is wrong, for the person at the terminal.
+    /// Message for the operator.
     pub message: String,
 }
 
-/// All that is wrong with a file.
+/// All errors in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The file.
+    /// Name of the file.
     pub file: String,
-    /// In the order of their lines.
-    pub faults: Vec<Diagnostic>,
+    /// Sorted by line.
+    pub diagnostics: Vec<Diagnostic>,
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (position, fault) in self.faults.iter().enumerate() {
-            let end = if position + 1 < self.faults.len() { "\n" } else { "" };
-            write!(out, "{}:{}: {}: {}{end}", self.file, fault.line, fault.field, fault.message)?;
+        for (index, diagnostic) in self.diagnostics.iter().enumerate() {
+            let end = if index + 1 < self.diagnostics.len() { "\n" } else { "" };
+            write!(out, "{}:{}: {}: {}{end}", self.file, diagnostic.line, diagnostic.field, diagnostic.message)?;
         }
         Ok(())
     }
@@ -113,51 +113,51 @@
     }
 }
 
-/// SettingsError found so far.
+/// Errors found so far.
 #[derive(Default)]
-pub(crate) struct Sink(RefCell<Vec<Diagnostic>>);
+pub(crate) struct Diagnostics(RefCell<Vec<Diagnostic>>);
 
-impl Sink {
+impl Diagnostics {
     pub(crate) fn push(&self, line: u64, field: impl Into<String>, message: impl ToString) {
         self.0.borrow_mut().push(Diagnostic { line, field: field.into(), message: message.to_string() });
     }
 
-    pub(crate) fn into_faults(self) -> Vec<Diagnostic> {
-        let mut faults = self.0.into_inner();
-        faults.sort();
-        faults.dedup();
-        faults
+    pub(crate) fn into_sorted(self) -> Vec<Diagnostic> {
+        let mut diagnostics = self.0.into_inner();
+        diagnostics.sort();
+        diagnostics.dedup();
+        diagnostics
     }
 }
 
-/// A mapping under a path; remembers which fields were asked for, to report the others as unknown.
+/// A mapping in the file. Records which fields are read, so that the others can be reported as unknown.
 pub(crate) struct Section<'a> {
-    sink: &'a Sink,
+    diagnostics: &'a Diagnostics,
     path: String,
     line: u64,
     entries: &'a [(Spanned<String>, Spanned<Node>)],
-    asked: RefCell<BTreeSet<&'static str>>,
+    known: RefCell<BTreeSet<&'static str>>,
 }
 
 impl<'a> Section<'a> {
-    pub(crate) fn new(sink: &'a Sink, path: String, node: &'a Spanned<Node>) -> Section<'a> {
+    pub(crate) fn new(diagnostics: &'a Diagnostics, path: String, node: &'a Spanned<Node>) -> Section<'a> {
         let line = node.referenced.line();
         let entries: &[_] = match &node.value {
             Node::Map(entries) => entries,
             _ => {
                 let shown = if path.is_empty() { "(file)" } else { &path };
-                sink.push(line, shown, "expected fields here");
+                diagnostics.push(line, shown, "expected a mapping");
                 &[]
             }
         };
-        Section { sink, path, line, entries, asked: RefCell::default() }
+        Section { diagnostics, path, line, entries, known: RefCell::default() }
     }
 
-    fn full(&self, field: &str) -> String {
+    fn full_path(&self, field: &str) -> String {
         if self.path.is_empty() { field.to_owned() } else { format!("{}.{field}", self.path) }
     }
 
-    /// Line of a field, or of the section when it is not there.
+    /// Line of a field, or of the section if the field is missing.
     pub(crate) fn line_of(&self, field: &str) -> u64 {
         self.find(field).map_or(self.line, |(key, _)| key.referenced.line())
     }
@@ -166,113 +166,119 @@
         self.entries.iter().find(|(key, _)| key.value == field)
     }
 
-    pub(crate) fn fault(&self, field: &str, message: impl ToString) {
-        self.sink.push(self.line_of(field), self.full(field), message);
+    pub(crate) fn error(&self, field: &str, message: impl ToString) {
+        self.diagnostics.push(self.line_of(field), self.full_path(field), message);
     }
 
     fn node(&self, field: &'static str) -> Option<&'a Spanned<Node>> {
-        self.asked.borrow_mut().insert(field);
+        self.known.borrow_mut().insert(field);
         self.find(field).map(|(_, node)| node)
     }
 
     fn required(&self, field: &'static str) -> Option<&'a Spanned<Node>> {
         let node = self.node(field);
         if node.is_none() {
-            self.fault(field, "missing");
+            self.error(field, "missing");
         }
         node
     }
 
-    /// A section that must be there.
+    /// Reads a required section.
     pub(crate) fn section(&self, field: &'static str) -> Option<Section<'a>> {
         let node = self.required(field)?;
-        Some(Section::new(self.sink, self.full(field), node))
+        Some(Section::new(self.diagnostics, self.full_path(field), node))
     }
 
-    /// A section that may be left out.
+    /// Reads an optional section.
     pub(crate) fn optional_section(&self, field: &'static str) -> Option<Section<'a>> {
         let node = self.node(field)?;
-        Some(Section::new(self.sink, self.full(field), node))
+        Some(Section::new(self.diagnostics, self.full_path(field), node))
     }
 
-    /// The items of a list, empty when it is left out.
+    /// Reads the items of an optional list.
     pub(crate) fn list(&self, field: &'static str) -> &'a [Spanned<Node>] {
         match self.node(field).map(|node| &node.value) {
             None | Some(Node::Null) => &[],
             Some(Node::List(items)) => items,
             Some(_) => {
-                self.fault(field, "expected a list");
+                self.error(field, "expected a list");
                 &[]
             }
         }
     }
 
-    /// Sections of a list.
+    /// Reads an optional list of sections.
     pub(crate) fn sections(&self, field: &'static str) -> Vec<Section<'a>> {
         let items = self.list(field).iter().enumerate();
-        items.map(|(at, node)| Section::new(self.sink, format!("{}[{at}]", self.full(field)), node)).collect()
+        items
+            .map(|(index, node)| Section::new(self.diagnostics, format!("{}[{index}]", self.full_path(field)), node))
+            .collect()
     }
 
-    /// Values of a list.
-    pub(crate) fn values<T>(&self, field: &'static str, read: impl Fn(&str) -> Result<T, String>) -> Vec<T> {
+    /// Reads an optional list of values.
+    pub(crate) fn values<T>(&self, field: &'static str, parse: impl Fn(&str) -> Result<T, String>) -> Vec<T> {
         let mut values = Vec::new();
-        for (at, node) in self.list(field).iter().enumerate() {
-            let path = format!("{}[{at}]", self.full(field));
-            let outcome = match &node.value {
-                Node::Scalar(text) => read(text),
+        for (index, node) in self.list(field).iter().enumerate() {
+            let path = format!("{}[{index}]", self.full_path(field));
+            let result = match &node.value {
+                Node::Scalar(text) => parse(text),
                 _ => Err("expected a single value".to_owned()),
             };
-            match outcome {
+            match result {
                 Ok(value) => values.push(value),
-                Err(message) => self.sink.push(node.referenced.line(), path, message),
+                Err(message) => self.diagnostics.push(node.referenced.line(), path, message),
             }
         }
         values
     }
 
-    fn read<T>(
+    fn parse_scalar<T>(
         &self,
         field: &'static str,
         node: &Spanned<Node>,
-        read: impl Fn(&str) -> Result<T, String>,
+        parse: impl Fn(&str) -> Result<T, String>,
     ) -> Option<T> {
         let Node::Scalar(text) = &node.value else {
-            self.fault(field, "expected a single value");
+            self.error(field, "expected a single value");
             return None;
         };
-        match read(text) {
+        match parse(text) {
             Ok(value) => Some(value),
             Err(message) => {
-                self.fault(field, message);
+                self.error(field, message);
                 None
             }
         }
     }
 
-    /// A value that must be there.
-    pub(crate) fn value<T>(&self, field: &'static str, read: impl Fn(&str) -> Result<T, String>) -> Option<T> {
+    /// Reads a required value.
+    pub(crate) fn value<T>(&self, field: &'static str, parse: impl Fn(&str) -> Result<T, String>) -> Option<T> {
         let node = self.required(field)?;
-        self.read(field, node, read)
+        self.parse_scalar(field, node, parse)
     }
 
-    /// A value that may be left out.
-    pub(crate) fn value_or<T>(&self, field: &'static str, default: T, read: impl Fn(&str) -> Result<T, String>) -> T {
+    /// Reads an optional value.
+    pub(crate) fn value_or<T>(&self, field: &'static str, default: T, parse: impl Fn(&str) -> Result<T, String>) -> T {
         let Some(node) = self.node(field) else { return default };
-        self.read(field, node, read).unwrap_or(default)
+        self.parse_scalar(field, node, parse).unwrap_or(default)
     }
 
-    /// Reports fields that nothing asked for, and fields that stand twice.
+    /// Reports unknown and duplicate fields.
     pub(crate) fn finish(self) {
-        let asked = self.asked.borrow();
+        let known_fields = self.known.borrow();
         let mut seen = BTreeSet::new();
         for (key, _) in self.entries {
             let line = key.referenced.line();
-            if !asked.contains(key.value.as_str()) {
-                let known: Vec<&str> = asked.iter().copied().collect();
-                self.sink.push(line, self.full(&key.value), format!("unknown field; known: {}", known.join(", ")));
+            if !known_fields.contains(key.value.as_str()) {
+                let known: Vec<&str> = known_fields.iter().copied().collect();
+                self.diagnostics.push(
+                    line,
+                    self.full_path(&key.value),
+                    format!("unknown field; known: {}", known.join(", ")),
+                );
             }
             if !seen.insert(key.value.as_str()) {
-                self.sink.push(line, self.full(&key.value), "stands twice");
+                self.diagnostics.push(line, self.full_path(&key.value), "duplicate field");
             }
         }
     }
@@ -290,15 +296,16 @@
 }
 
 pub(crate) fn address(value: &str) -> Result<SocketAddr, String> {
-    SocketAddr::from_str(value).map_err(|_| format!("`{value}` is not an address by IP number, such as 10.1.2.3:8080"))
+    SocketAddr::from_str(value)
+        .map_err(|_| format!("`{value}` is not an IP address with a port, such as 10.1.2.3:8080"))
 }
 
 pub(crate) fn duration(value: &str) -> Result<Duration, String> {
-    units::parse_duration(value).map_err(|fault| fault.to_string())
+    units::parse_duration(value).map_err(|error| error.to_string())
 }
 
 pub(crate) fn size(value: &str) -> Result<u64, String> {
-    units::parse_size(value).map_err(|fault| fault.to_string())
+    units::parse_size(value).map_err(|error| error.to_string())
 }
 
 pub(crate) fn number<T: FromStr>(value: &str) -> Result<T, String> {
--- a/components/settings/src/check.rs
+++ b/components/settings/src/validate.rs
@@ -1,4 +1,4 @@
-//! Turns the tree into settings, gathering every fault on the way.
+//! Converts the YAML tree to settings and collects all errors on the way.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,34 +7,35 @@
 use model::workload::Priority;
 use serde_saphyr::Spanned;
 
-use crate::tree::{self, Diagnostic, Node, Section, SettingsError, Sink};
+use crate::tree::{self, Diagnostic, Diagnostics, Node, Section, SettingsError};
 use crate::{Class, Level, Listen, Membership, Platform, Requests, Settings, Tasks};
 
-const SHORTEST_KEY: usize = 16;
-/// Renewals and digests that may be lost in a row before a lease or a host is given up.
-const LOSSES: u32 = 3;
+const MIN_KEY_LENGTH: usize = 16;
+/// Smallest ratio of a timeout to its interval: this many renewals or digests in a row may be lost before a lease
+/// expires or a host is considered dead.
+const MIN_INTERVALS: u32 = 3;
 
 pub(crate) fn settings(file: &str, text: &str) -> Result<Settings, SettingsError> {
-    let all = |faults| SettingsError { file: file.to_owned(), faults };
-    let root: Spanned<Node> = match serde_saphyr::from_str(text) {
-        Ok(root) => root,
-        Err(fault) => {
-            let line = fault.location().map_or(1, |location| location.line());
-            let message = format!("not readable as YAML: {fault}");
-            return Err(all(vec![Diagnostic { line, field: "(file)".to_owned(), message }]));
+    let error = |diagnostics| SettingsError { file: file.to_owned(), diagnostics };
+    let root_node: Spanned<Node> = match serde_saphyr::from_str(text) {
+        Ok(node) => node,
+        Err(yaml_error) => {
+            let line = yaml_error.location().map_or(1, |location| location.line());
+            let message = format!("invalid YAML: {yaml_error}");
+            return Err(error(vec![Diagnostic { line, field: "(file)".to_owned(), message }]));
         }
     };
-    let sink = Sink::default();
-    let settings = whole(Section::new(&sink, String::new(), &root));
-    let faults = sink.into_faults();
+    let diagnostics = Diagnostics::default();
+    let settings = root(Section::new(&diagnostics, String::new(), &root_node));
+    let found = diagnostics.into_sorted();
     match settings {
-        Some(settings) if faults.is_empty() => Ok(settings),
-        _ => Err(all(faults)),
+        Some(settings) if found.is_empty() => Ok(settings),
+        _ => Err(error(found)),
     }
 }
 
-// Each part is read before the first `?`, so that faults in all of them are gathered.
-fn whole(root: Section<'_>) -> Option<Settings> {
+// Reads every field before the first `?`, so that the errors of all fields are collected.
+fn root(root: Section<'_>) -> Option<Settings> {
     let cell = root.value("cell", tree::name);
     let host = root.value("host", tree::name);
     let data_centre = root.value("data_centre", tree::name);
@@ -52,9 +53,9 @@
     if let Some(own) = &data_centre
         && !data_centres.contains(own)
     {
-        root.fault("data_centres", format!("must contain this host's own, `{own}`"));
+        root.error("data_centres", format!("must contain this host's own, `{own}`"));
     }
-    unique_classes(&root, &classes);
+    check_unique_paths(&root, &classes);
     root.finish();
     Some(Settings {
         cell: cell?,
@@ -79,15 +80,15 @@
     let operators = section.value("operators", tree::address);
     let peers = section.value("peers", tree::address);
     let relay = section.value("relay", tree::address);
-    let named = [("callers", callers), ("operators", operators), ("peers", peers), ("relay", relay)];
-    let mut taken: BTreeMap<SocketAddr, &str> = BTreeMap::new();
-    for (field, address) in named {
+    let addresses = [("callers", callers), ("operators", operators), ("peers", peers), ("relay", relay)];
+    let mut used: BTreeMap<SocketAddr, &str> = BTreeMap::new();
+    for (field, address) in addresses {
         let Some(address) = address else { continue };
-        if let Some(first) = taken.insert(address, field) {
-            section.fault(field, format!("{address} is the address of `{first}` already"));
+        if let Some(first) = used.insert(address, field) {
+            section.error(field, format!("{address} is already the address of `{first}`"));
         }
         if address.port() == 0 {
-            section.fault(field, "needs a port other than 0, since others must know it");
+            section.error(field, "must have a port other than 0, because others must know it");
         }
     }
     section.finish();
@@ -99,7 +100,7 @@
     let timeout = section.value_or("timeout", Duration::from_millis(1500), tree::duration);
     let calls_per_second = section.value_or("calls_per_second", 30, tree::number);
     if calls_per_second == 0 {
-        section.fault("calls_per_second", "must be at least 1");
+        section.error("calls_per_second", "must be at least 1");
     }
     section.finish();
     Some(Platform { address: address?, timeout, calls_per_second })
@@ -110,10 +111,12 @@
     let Some(section) = section else { return default };
     let heartbeat = section.value_or("heartbeat", default.heartbeat, tree::duration);
     let dead_after = section.value_or("dead_after", default.dead_after, tree::duration);
-    if dead_after < heartbeat * LOSSES {
-        section.fault(
+    if dead_after < heartbeat * MIN_INTERVALS {
+        section.error(
             "dead_after",
-            format!("must be at least {LOSSES} times `heartbeat`, so that a lost digest kills none"),
+            format!(
+                "must be at least {MIN_INTERVALS} times `heartbeat`, so that a lost digest does not mark a host dead"
+            ),
         );
     }
     section.finish();
@@ -132,11 +135,11 @@
     let renew_every = section.value_or("renew_every", default.renew_every, tree::duration);
     let partitions = section.value_or("partitions", default.partitions, tree::number);
     let keep_finished = section.value_or("keep_finished", default.keep_finished, tree::duration);
-    if lease < renew_every * LOSSES {
-        section.fault("lease", format!("must be at least {LOSSES} times `renew_every`"));
+    if lease < renew_every * MIN_INTERVALS {
+        section.error("lease", format!("must be at least {MIN_INTERVALS} times `renew_every`"));
     }
     if partitions == 0 {
-        section.fault("partitions", "must be at least 1");
+        section.error("partitions", "must be at least 1");
     }
     section.finish();
     Tasks { lease, renew_every, partitions, keep_finished }
@@ -161,7 +164,7 @@
         max_remembered: section.value_or("max_remembered", default.max_remembered, tree::size),
     };
     if requests.slots == 0 {
-        section.fault("slots", "must be at least 1");
+        section.error("slots", "must be at least 1");
     }
     section.finish();
     requests
@@ -178,19 +181,19 @@
     Some(Class { name: name?, path: path?, service: service?, priority, deadline: deadline?, repeatable })
 }
 
-fn unique_classes(root: &Section<'_>, classes: &[Option<Class>]) {
+fn check_unique_paths(root: &Section<'_>, classes: &[Option<Class>]) {
     let mut seen: BTreeMap<&str, &str> = BTreeMap::new();
     for class in classes.iter().flatten() {
         if let Some(first) = seen.insert(&class.path, &class.name) {
-            root.fault("classes", format!("`{}` and `{first}` have the same path {}", class.name, class.path));
+            root.error("classes", format!("`{}` and `{first}` have the same path {}", class.name, class.path));
         }
     }
 }
 
 fn shared_key(value: &str) -> Result<String, String> {
-    // The value is a secret: the message must not repeat it.
-    if value.len() < SHORTEST_KEY {
-        return Err(format!("must have at least {SHORTEST_KEY} characters"));
+    // The value is a secret and must not appear in the message.
+    if value.len() < MIN_KEY_LENGTH {
+        return Err(format!("must have at least {MIN_KEY_LENGTH} characters"));
     }
     tree::text(value)
 }
--- a/components/settings/tests/settings.rs
+++ b/components/settings/tests/settings.rs
@@ -1,6 +1,6 @@
-//! Good settings are read; bad ones show every fault with its line and field.
+//! Valid settings are parsed; invalid ones report every error with its line and field.
 
-const GOOD: &str = "\
+const VALID: &str = "\
 cell: ferroplan
 host: entry-a1
 data_centre: gt-1
@@ -24,7 +24,7 @@
     repeatable: true
 ";
 
-const BAD: &str = "\
+const INVALID: &str = "\
 cell: ferroplan
 host: entry a1
 data_centre: gt-1
@@ -52,26 +52,26 @@
 
 #[test]
 fn good_settings_are_read() {
-    let settings = settings::parse("good.yaml", GOOD).unwrap();
+    let settings = settings::parse("good.yaml", VALID).unwrap();
     assert_eq!(settings.classes[0].deadline.as_millis(), 300);
-    assert_eq!(settings.tasks.partitions, 16, "left out, so the default");
+    assert_eq!(settings.tasks.partitions, 16, "the default");
 }
 
 #[test]
 fn every_fault_is_shown_at_once_with_line_and_field() {
-    let faults = settings::parse("bad.yaml", BAD).unwrap_err();
-    insta::assert_snapshot!(faults.to_string());
+    let error = settings::parse("bad.yaml", INVALID).unwrap_err();
+    insta::assert_snapshot!(error.to_string());
 }
 
 #[test]
 fn the_shared_key_is_never_repeated() {
-    let faults = settings::parse("bad.yaml", BAD).unwrap_err().to_string();
-    assert!(!faults.contains("short"), "{faults}");
+    let error = settings::parse("bad.yaml", INVALID).unwrap_err().to_string();
+    assert!(!error.contains("short"), "{error}");
 }
 
 #[test]
 fn broken_yaml_names_its_line() {
-    let faults = settings::parse("broken.yaml", "cell: x\nlisten: [1,\n").unwrap_err();
-    assert_eq!(faults.faults.len(), 1);
-    assert!(faults.faults[0].line >= 2, "{faults}");
+    let error = settings::parse("broken.yaml", "cell: x\nlisten: [1,\n").unwrap_err();
+    assert_eq!(error.diagnostics.len(), 1);
+    assert!(error.diagnostics[0].line >= 2, "{error}");
 }
