--- a/components/api/src/lib.rs
+++ b/components/api/src/lib.rs
@@ -1,9 +1,6 @@
-//! The operators' HTTP interface, and the types that the command line client shares with it.
+//! The HTTP API for operators, and the request and response types that it shares with the command line client.
 //!
-//! The OpenAPI document is committed as `docs/openapi.json`; a test holds both together.
-
-// Off until its wording is done.
-#![allow(clippy::missing_errors_doc, clippy::missing_panics_doc)]
+//! `docs/openapi.json` is its OpenAPI document; a test checks that it is up to date.
 
 mod server;
 mod types;
@@ -11,5 +8,5 @@
 pub use server::{OperatorHandler, description, start};
 pub use types::{Command, Health, Outcome, Rows, Status};
 
-/// Version of the interface.
+/// Version of the API.
 pub const VERSION: &str = "1.0.0";
--- a/components/api/src/server.rs
+++ b/components/api/src/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server.
+//! The HTTP server and its endpoints.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,102 +16,111 @@
 
 use crate::types::{Command, Health, Outcome};
 
-/// Largest body: a plan of many workloads.
-const MAX_BODY: usize = 4 * 1024 * 1024;
-const BEARER: &str = "Bearer ";
+/// Largest request body: fits a plan of many workloads.
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
+const BEARER_PREFIX: &str = "Bearer ";
 
-/// What stands behind the interface.
+/// Implementation of the API by the entry host.
 #[async_trait]
 pub trait OperatorHandler: Send + Sync + 'static {
-    /// Carries a statement out.
+    /// Executes a statement.
     async fn execute(&self, command: Command) -> Outcome;
-    /// The outcome of an earlier command.
+    /// Returns the outcome of an earlier command.
     async fn outcome(&self, command: Uuid) -> Outcome;
-    /// How this host stands.
+    /// Returns the state of this host.
     fn health(&self) -> Health;
-    /// The metrics in the text format of Prometheus.
+    /// Returns the metrics in the text format of Prometheus.
     fn metrics(&self) -> String;
-    /// The key that operators must show.
+    /// Returns the key that operators must present.
     fn shared_key(&self) -> &str;
 }
 
 type Context = Arc<dyn OperatorHandler>;
 
 /// Starts the server. Closing the returned handle lets requests in flight finish.
-pub fn start(address: SocketAddr, operators: Context, log: &Logger) -> Result<HttpServer<Context>, String> {
+///
+/// # Errors
+///
+/// Fails if the endpoints can't be registered or the address can't be bound.
+pub fn start(address: SocketAddr, handler: Context, log: &Logger) -> Result<HttpServer<Context>, String> {
     let config = ConfigDropshot {
         bind_address: address,
-        default_request_body_max_bytes: MAX_BODY,
-        // A command goes on to its end when its client hangs up: half of it must not be left undone.
+        default_request_body_max_bytes: MAX_BODY_BYTES,
+        // A command runs to its end even if the client disconnects, so that it is never carried out in part.
         default_handler_task_mode: HandlerTaskMode::Detached,
         ..ConfigDropshot::default()
     };
     let api = description()?;
-    ServerBuilder::new(api, operators, log.clone()).config(config).start().map_err(|fault| fault.to_string())
+    ServerBuilder::new(api, handler, log.clone()).config(config).start().map_err(|error| error.to_string())
 }
 
-/// The interface, for the server and for its OpenAPI document.
+/// Returns all endpoints, for the server and for the OpenAPI document.
+///
+/// # Errors
+///
+/// Fails if dropshot rejects an endpoint.
 pub fn description() -> Result<ApiDescription<Context>, String> {
     let mut api = ApiDescription::new();
-    let fault = |fault: dropshot::ApiDescriptionRegisterError| fault.to_string();
-    api.register(execute).map_err(fault)?;
-    api.register(outcome).map_err(fault)?;
-    api.register(health).map_err(fault)?;
-    api.register(metrics).map_err(fault)?;
+    let to_message = |error: dropshot::ApiDescriptionRegisterError| error.to_string();
+    api.register(execute).map_err(to_message)?;
+    api.register(outcome).map_err(to_message)?;
+    api.register(health).map_err(to_message)?;
+    api.register(metrics).map_err(to_message)?;
     Ok(api)
 }
 
-/// Compares digests, which `blake3` does in constant time, so that the time tells nothing about the key.
-fn authorized(request: &RequestContext<Context>) -> Result<(), HttpError> {
-    let shown = request.request.headers().get(header::AUTHORIZATION).and_then(|value| value.to_str().ok());
-    let shown = shown.and_then(|value| value.strip_prefix(BEARER)).unwrap_or_default();
+/// Checks the bearer token. Compares `blake3` hashes because their comparison takes constant time and so reveals nothing
+/// about the key.
+fn check_authorization(request: &RequestContext<Context>) -> Result<(), HttpError> {
+    let header = request.request.headers().get(header::AUTHORIZATION).and_then(|value| value.to_str().ok());
+    let presented = header.and_then(|value| value.strip_prefix(BEARER_PREFIX)).unwrap_or_default();
     let expected = request.context().shared_key();
-    if blake3::hash(shown.as_bytes()) == blake3::hash(expected.as_bytes()) {
+    if blake3::hash(presented.as_bytes()) == blake3::hash(expected.as_bytes()) {
         return Ok(());
     }
-    let message = "show the cell's shared key as a bearer token".to_owned();
+    let message = "the cell's shared key is required as a bearer token".to_owned();
     Err(HttpError::for_client_error(None, dropshot::ClientErrorStatusCode::UNAUTHORIZED, message))
 }
 
-/// Carry out one statement
+/// Execute one statement
 #[endpoint { method = POST, path = "/v1/statements" }]
 async fn execute(
     request: RequestContext<Context>,
     body: TypedBody<Command>,
 ) -> Result<HttpResponseOk<Outcome>, HttpError> {
-    authorized(&request)?;
+    check_authorization(&request)?;
     Ok(HttpResponseOk(request.context().execute(body.into_inner()).await))
 }
 
-/// Path of a command.
+/// Path parameters of a command.
 #[derive(Debug, Serialize, Deserialize, JsonSchema)]
 struct CommandPath {
     /// Id of the command.
     command: Uuid,
 }
 
-/// Ask for the outcome of an earlier command
+/// Get the outcome of an earlier command
 #[endpoint { method = GET, path = "/v1/commands/{command}" }]
 async fn outcome(
     request: RequestContext<Context>,
     path: Path<CommandPath>,
 ) -> Result<HttpResponseOk<Outcome>, HttpError> {
-    authorized(&request)?;
+    check_authorization(&request)?;
     Ok(HttpResponseOk(request.context().outcome(path.into_inner().command).await))
 }
 
-/// How this entry host stands; needs no key
+/// Get the state of this entry host; needs no key
 #[endpoint { method = GET, path = "/v1/health" }]
 async fn health(request: RequestContext<Context>) -> Result<HttpResponseOk<Health>, HttpError> {
     Ok(HttpResponseOk(request.context().health()))
 }
 
-/// Metrics in the text format of Prometheus; needs no key
+/// Get the metrics in the text format of Prometheus; needs no key
 #[endpoint { method = GET, path = "/metrics" }]
 async fn metrics(request: RequestContext<Context>) -> Result<Response<Body>, HttpError> {
     Response::builder()
         .status(StatusCode::OK)
         .header(header::CONTENT_TYPE, "text/plain; version=0.0.4")
         .body(Body::from(request.context().metrics()))
-        .map_err(|fault| HttpError::for_internal_error(fault.to_string()))
+        .map_err(|error| HttpError::for_internal_error(error.to_string()))
 }
--- a/components/api/src/types.rs
+++ b/components/api/src/types.rs
@@ -1,89 +1,89 @@
-//! Bodies of the operators' interface.
+//! Request and response bodies of the API.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use uuid::Uuid;
 
-/// A statement to carry out.
+/// A statement to execute.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct Command {
     /// The statement, in the query and command language.
     pub statement: String,
-    /// Unique id, chosen by the client. A command with an id that was carried out already is not carried out
-    /// again: its first outcome is returned.
+    /// Unique id, chosen by the client. A command whose id was already executed is not executed again; its first
+    /// outcome is returned.
     pub command: Uuid,
-    /// Text of the plan file that a `submit` names.
+    /// Contents of the plan file that a `submit` statement names.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub plan: Option<String>,
 }
 
-/// How a statement went.
+/// Whether a statement was executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Status {
-    /// Carried out, and durable.
+    /// Executed, and durable.
     Done,
-    /// Surely not carried out.
+    /// Definitely not executed.
     NotDone,
-    /// Not known yet: ask again by the command's id.
+    /// Not known yet; query the outcome again by the command's id.
     Unknown,
 }
 
-/// A table of an answer.
+/// A table in an outcome.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct Rows {
     /// Names of the columns.
     pub columns: Vec<String>,
-    /// The rows.
+    /// Rows, each with one cell per column.
     pub rows: Vec<Vec<String>>,
 }
 
 /// The outcome of a statement.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, JsonSchema)]
 pub struct Outcome {
-    /// How it went.
+    /// Whether the statement was executed.
     pub status: Status,
-    /// In words, for the person at the terminal.
+    /// Message for the operator.
     pub message: String,
-    /// Revision of the configuration that has the change.
+    /// Revision of the configuration that contains the change.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub revision: Option<u64>,
-    /// When to try again, in milliseconds, where that helps.
+    /// Time after which a retry may succeed, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// What was asked for.
+    /// The table that the statement asked for.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub table: Option<Rows>,
 }
 
 impl Outcome {
-    /// Carried out.
+    /// Creates the outcome of an executed statement.
     pub fn done(message: impl Into<String>) -> Outcome {
         Outcome { status: Status::Done, message: message.into(), revision: None, retry_after_ms: None, table: None }
     }
 
-    /// Surely not carried out.
+    /// Creates the outcome of a statement that was definitely not executed.
     pub fn not_done(message: impl Into<String>) -> Outcome {
         Outcome { status: Status::NotDone, ..Outcome::done(message) }
     }
 
-    /// Not known yet.
+    /// Creates the outcome of a statement whose effect is not known yet.
     pub fn unknown(message: impl Into<String>) -> Outcome {
         Outcome { status: Status::Unknown, ..Outcome::done(message) }
     }
 }
 
-/// How this entry host stands.
+/// State of an entry host.
 #[derive(Clone, Debug, Serialize, Deserialize, JsonSchema)]
 pub struct Health {
-    /// Its name.
+    /// Name of the host.
     pub host: String,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: String,
-    /// Whether it takes new work.
+    /// Whether the host accepts new work.
     pub serving: bool,
-    /// Revision of the configuration in force here.
+    /// Revision of the configuration in force on the host.
     pub revision: u64,
-    /// Whether the platform answered lately.
+    /// Whether the platform responded recently.
     pub platform: bool,
 }
--- a/components/query/src/lib.rs
+++ b/components/query/src/lib.rs
@@ -1,9 +1,6 @@
-//! The query and command language that operators drive walkhook with.
+//! Parser of the query and command language for operators, and the filter for the tables that it queries.
 //!
-//! The grammar stands in `statement.pest`; `docs/LANGUAGE.md` is its page for operators.
-
-// Off until its wording is done.
-#![allow(clippy::missing_errors_doc, clippy::missing_panics_doc)]
+//! The grammar is in `statement.pest`; `docs/LANGUAGE.md` documents it for operators.
 
 mod parse;
 mod statement;
--- a/components/query/src/parse.rs
+++ b/components/query/src/parse.rs
@@ -1,4 +1,4 @@
-//! Reads statements.
+//! Parses statements.
 
 use pest::Parser;
 use pest::error::{ErrorVariant, InputLocation};
@@ -7,7 +7,7 @@
 
 use crate::statement::{Assignment, Condition, Operator, Statement, Subject, Topic};
 
-// The derive makes a public enum without docs.
+// The derive generates a public enum without documentation.
 mod grammar {
     #![allow(missing_docs)]
 
@@ -18,47 +18,55 @@
 
 use grammar::{Grammar, Rule};
 
-/// A mistake, shown with its place in the statement and what was expected there.
+/// A syntax error, with its position in the script and what was expected there.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("{shown}")]
+#[error("{message}")]
 pub struct ParseError {
-    /// Byte at which the mistake stands.
-    pub at: usize,
-    /// The text for a person.
-    pub shown: String,
+    /// Byte offset of the error.
+    pub offset: usize,
+    /// Message for the operator.
+    pub message: String,
 }
 
-/// Reads a script: statements separated by `;`.
+/// Parses a script: statements separated by `;`.
+///
+/// # Errors
+///
+/// Fails if `text` has a syntax error.
 pub fn parse(text: &str) -> Result<Vec<Statement>, ParseError> {
-    let mut pairs = Grammar::parse(Rule::script, text).map_err(fault)?;
+    let mut pairs = Grammar::parse(Rule::script, text).map_err(to_parse_error)?;
     let Some(script) = pairs.next() else { return Ok(Vec::new()) };
     Ok(script.into_inner().filter(|pair| pair.as_rule() != Rule::EOI).map(statement).collect())
 }
 
-/// Reads exactly one statement.
+/// Parses exactly one statement.
+///
+/// # Errors
+///
+/// Fails if `text` has a syntax error, or if it is not exactly one statement.
 pub fn parse_one(text: &str) -> Result<Statement, ParseError> {
     let mut statements = parse(text)?;
     if statements.len() != 1 {
-        let shown = format!("expected one statement, found {}", statements.len());
-        return Err(ParseError { at: 0, shown });
+        let message = format!("expected one statement, found {}", statements.len());
+        return Err(ParseError { offset: 0, message });
     }
     Ok(statements.remove(0))
 }
 
-fn fault(fault: pest::error::Error<Rule>) -> ParseError {
-    let at = match fault.location {
-        InputLocation::Pos(at) | InputLocation::Span((at, _)) => at,
+fn to_parse_error(error: pest::error::Error<Rule>) -> ParseError {
+    let offset = match error.location {
+        InputLocation::Pos(offset) | InputLocation::Span((offset, _)) => offset,
     };
-    let fault = fault.renamed_rules(expected);
-    let shown = match &fault.variant {
-        ErrorVariant::ParsingError { .. } | ErrorVariant::CustomError { .. } => fault.to_string(),
+    let error = error.renamed_rules(describe_rule);
+    let message = match &error.variant {
+        ErrorVariant::ParsingError { .. } | ErrorVariant::CustomError { .. } => error.to_string(),
     };
-    ParseError { at, shown }
+    ParseError { offset, message }
 }
 
-/// What a person would call a rule of the grammar.
-fn expected(rule: &Rule) -> String {
-    let words = match rule {
+/// Describes a rule of the grammar in error messages.
+fn describe_rule(rule: &Rule) -> String {
+    let description = match rule {
         Rule::script | Rule::statement => "a statement",
         Rule::submit => "`submit FILE`",
         Rule::change => "`change workload|team NAME set FIELD = VALUE`",
@@ -73,7 +81,7 @@
         Rule::team => "`team NAME`",
         Rule::task => "`task NAME`",
         Rule::worker => "`worker NAME`",
-        Rule::asked => "`task NAME`, `workload NAME` or `worker NAME`",
+        Rule::why_subject => "`task NAME`, `workload NAME` or `worker NAME`",
         Rule::assignment => "`FIELD = VALUE`",
         Rule::revision => "`if revision = NUMBER`",
         Rule::filter => "`where FIELD = VALUE`",
@@ -90,7 +98,7 @@
         Rule::EOI => "`;` or the end",
         Rule::WHITESPACE | Rule::COMMENT => "a space",
     };
-    words.to_owned()
+    description.to_owned()
 }
 
 fn statement(pair: Pair<'_, Rule>) -> Statement {
@@ -107,26 +115,26 @@
         Rule::change => change(parts),
         Rule::show => show(parts),
         Rule::why => {
-            let asked = parts.next().and_then(|asked| asked.into_inner().next());
-            Statement::Why { subject: asked.map(subject).unwrap_or(Subject::Task(String::new())) }
+            let subject_pair = parts.next().and_then(|pair| pair.into_inner().next());
+            Statement::Why { subject: subject_pair.map(subject).unwrap_or(Subject::Task(String::new())) }
         }
         other => unreachable!("the grammar has no statement {other:?}"),
     }
 }
 
 fn change<'a>(parts: impl Iterator<Item = Pair<'a, Rule>>) -> Statement {
-    let mut what = Subject::Workload(String::new());
+    let mut changed = Subject::Workload(String::new());
     let mut set = Vec::new();
     let mut revision = None;
     for part in parts {
         match part.as_rule() {
-            Rule::subject => what = part.into_inner().next().map(subject).unwrap_or(what),
+            Rule::subject => changed = part.into_inner().next().map(subject).unwrap_or(changed),
             Rule::assignment => set.push(assignment(part)),
             Rule::revision => revision = Some(number(part)),
             _ => {}
         }
     }
-    Statement::Change { subject: what, set, revision }
+    Statement::Change { subject: changed, set, revision }
 }
 
 fn show<'a>(parts: impl Iterator<Item = Pair<'a, Rule>>) -> Statement {
@@ -135,7 +143,7 @@
     let mut limit = None;
     for part in parts {
         match part.as_rule() {
-            Rule::topic => topic = named_topic(part.as_str()),
+            Rule::topic => topic = topic_from_keyword(part.as_str()),
             Rule::filter => conditions = part.into_inner().map(condition).collect(),
             Rule::limit => limit = Some(number(part)),
             _ => {}
@@ -144,8 +152,8 @@
     Statement::Show { topic, conditions, limit }
 }
 
-fn named_topic(word: &str) -> Topic {
-    match word.to_ascii_lowercase().as_str() {
+fn topic_from_keyword(keyword: &str) -> Topic {
+    match keyword.to_ascii_lowercase().as_str() {
         "workers" => Topic::Workers,
         "workloads" => Topic::Workloads,
         "teams" => Topic::Teams,
@@ -191,7 +199,7 @@
     parts.next().map(text).unwrap_or_default()
 }
 
-/// The characters of a name, value or text, without their quotes.
+/// Returns a name, value or text without its quotes.
 fn text(pair: Pair<'_, Rule>) -> String {
     match pair.as_rule() {
         Rule::inner | Rule::word | Rule::path => pair.as_str().to_owned(),
@@ -199,7 +207,7 @@
     }
 }
 
-/// A number too large to be one is the largest: no revision or limit is that large.
+/// Parses a number. One that does not fit becomes the largest `u64`, which no revision or limit reaches.
 fn number(pair: Pair<'_, Rule>) -> u64 {
     let digits = pair.into_inner().next();
     digits.and_then(|digits| digits.as_str().parse().ok()).unwrap_or(u64::MAX)
--- a/components/query/src/statement.rs
+++ b/components/query/src/statement.rs
@@ -1,15 +1,15 @@
-//! What a statement says.
+//! Parsed statements.
 
 use std::fmt;
 
 use model::{Revision, TeamId, WorkerId, WorkloadId};
 
-/// One statement.
+/// A statement of the language.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Statement {
     /// Submit all workloads of a plan file.
     Submit {
-        /// Path of the file, at the operator's side.
+        /// Path of the file on the operator's machine.
         plan: String,
     },
     /// Change fields of a workload or team.
@@ -18,10 +18,10 @@
         subject: Subject,
         /// Fields and their new values.
         set: Vec<Assignment>,
-        /// Only when the record still has this revision.
+        /// Apply only if the record still has this revision.
         revision: Option<Revision>,
     },
-    /// Empty a worker and give it nothing new.
+    /// Move all tasks off a worker and give it no new ones.
     Drain {
         /// The worker.
         worker: WorkerId,
@@ -35,27 +35,27 @@
     Cancel {
         /// The workload.
         workload: WorkloadId,
-        /// Only when the record still has this revision.
+        /// Apply only if the record still has this revision.
         revision: Option<Revision>,
     },
     /// Show a table.
     Show {
-        /// Which one.
+        /// The table to show.
         topic: Topic,
-        /// All must hold.
+        /// Conditions that each shown row meets.
         conditions: Vec<Condition>,
-        /// Most rows.
+        /// Maximum number of rows.
         limit: Option<u64>,
     },
-    /// Say why something stands where it stands.
+    /// Explain the state of a task, workload or worker.
     Why {
-        /// What is asked about.
+        /// What to explain.
         subject: Subject,
     },
 }
 
 impl Statement {
-    /// Whether it changes something.
+    /// Whether the statement changes something.
     pub fn is_command(&self) -> bool {
         !matches!(self, Statement::Show { .. } | Statement::Why { .. })
     }
@@ -68,7 +68,7 @@
     Workload(WorkloadId),
     /// A team.
     Team(TeamId),
-    /// A task, by its name.
+    /// A task, by name.
     Task(String),
     /// A worker.
     Worker(WorkerId),
@@ -79,15 +79,15 @@
 pub enum Topic {
     /// Tasks and where they run.
     Tasks,
-    /// Workers and what is free there.
+    /// Workers and their free resources.
     Workers,
     /// Accepted workloads.
     Workloads,
-    /// Teams with their quotas and use.
+    /// Teams with their quotas and usage.
     Teams,
     /// Entry hosts.
     Hosts,
-    /// Classes of requests and how they fare.
+    /// Classes of requests and their statistics.
     Requests,
     /// Records of the configuration.
     Configuration,
@@ -107,16 +107,14 @@
     }
 }
 
-/// A field and its new value.
+/// A new value for a field.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Assignment {
-    /// The field.
     pub field: String,
-    /// Its value.
     pub value: String,
 }
 
-/// How a condition compares. Numbers compare as numbers, anything else as text.
+/// Comparison operator. Two numbers compare by value, anything else as text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operator {
     /// `=`
@@ -136,10 +134,9 @@
 /// A condition on a row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Condition {
-    /// Name of a column.
+    /// Name of the column.
     pub field: String,
-    /// How to compare.
     pub operator: Operator,
-    /// What with.
+    /// Value to compare the cell with.
     pub value: String,
 }
--- a/components/query/src/table.rs
+++ b/components/query/src/table.rs
@@ -1,4 +1,4 @@
-//! Tables, and which of their rows a statement asks for.
+//! Tables of query results, and the filter for their rows.
 
 use std::cmp::Ordering;
 
@@ -9,7 +9,7 @@
 pub struct Table {
     /// Names of the columns.
     pub columns: Vec<String>,
-    /// The rows, each with a cell a column.
+    /// Rows, each with one cell per column.
     pub rows: Vec<Vec<String>>,
 }
 
@@ -20,14 +20,17 @@
     }
 }
 
-/// Keeps the rows that meet all conditions, at most `limit`. A column that the table lacks is an error that
-/// names those it has.
+/// Keeps the first `limit` rows that meet all conditions.
+///
+/// # Errors
+///
+/// Fails if a condition names an unknown column; the message lists the columns of the table.
 pub fn filter(mut table: Table, conditions: &[Condition], limit: Option<u64>) -> Result<Table, String> {
     for condition in conditions {
-        let Some(at) = table.columns.iter().position(|column| *column == condition.field) else {
-            return Err(format!("no column `{}`; there are {}", condition.field, table.columns.join(", ")));
+        let Some(index) = table.columns.iter().position(|column| *column == condition.field) else {
+            return Err(format!("unknown column `{}`; known: {}", condition.field, table.columns.join(", ")));
         };
-        table.rows.retain(|row| row.get(at).is_some_and(|cell| holds(cell, condition)));
+        table.rows.retain(|row| row.get(index).is_some_and(|cell| matches(cell, condition)));
     }
     if let Some(limit) = limit {
         table.rows.truncate(usize::try_from(limit).unwrap_or(usize::MAX));
@@ -35,7 +38,7 @@
     Ok(table)
 }
 
-fn holds(cell: &str, condition: &Condition) -> bool {
+fn matches(cell: &str, condition: &Condition) -> bool {
     let order = compare(cell, &condition.value);
     match condition.operator {
         Operator::Equal => order == Ordering::Equal,
