--- a/components/sched/tests/decisions/assemble.rs
+++ b/components/sched/tests/decisions/assemble.rs
@@ -1,5 +1,6 @@
-//! Gangs on a cell that is full to 84%: 100 workers of 16 cores, of which the adviser lets three in ten run a gang. Patient steps of 25
-//! tasks of 2 cores, which save, come every 0.15 s, and every second a gang of 10 tasks of 5 cores.
+//! Gangs on a cell with a load of 84%: 100 workers of 16 cores, of which the advice service allows three in ten to
+//! run a gang. Less urgent steps of 25 tasks with 2 cores each, which write checkpoints, come every 0.15 s, and a
+//! gang of 10 tasks with 5 cores each comes every second.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,17 +11,17 @@
 use crate::cell::{Cell, running, step};
 
 const TICK: Duration = Duration::from_millis(10);
-const PATIENT_EVERY: Duration = Duration::from_millis(150);
-const PATIENT_TAKES: Duration = Duration::from_millis(3400);
-const GANG_EVERY: Duration = Duration::from_secs(1);
-const GANG_TAKES: Duration = Duration::from_secs(4);
-/// How often workers report.
-const REPORT: Duration = Duration::from_millis(400);
+const PATIENT_INTERVAL: Duration = Duration::from_millis(150);
+const PATIENT_RUN_TIME: Duration = Duration::from_millis(3400);
+const GANG_INTERVAL: Duration = Duration::from_secs(1);
+const GANG_RUN_TIME: Duration = Duration::from_secs(4);
+/// Interval between reports of the workers.
+const REPORT_INTERVAL: Duration = Duration::from_millis(400);
 /// How long a stop takes.
-const STOP: Duration = Duration::from_millis(500);
-/// Hosts that ask the adviser.
+const STOP_TIME: Duration = Duration::from_millis(500);
+/// Number of hosts that call the advice service.
 const HOSTS: usize = 20;
-/// Jobs from this number on are gangs.
+/// Jobs from this id on are gangs.
 const FIRST_GANG: JobId = 10_000;
 
 /// A run, and how and when it ends.
@@ -31,21 +32,21 @@
     how: RunOutcome,
 }
 
-struct Play {
+struct Simulation {
     cell: Cell,
     runs: Vec<Run>,
     asked: Vec<(Duration, Question)>,
     waiting: Vec<Question>,
     submitted: BTreeMap<JobId, Duration>,
-    /// From its submission to the first start of each job.
+    /// Time from the submission of each job to its first start.
     waits: BTreeMap<JobId, Duration>,
     stops: usize,
     reported: Duration,
 }
 
-impl Play {
-    fn new(workers: usize) -> Play {
-        Play {
+impl Simulation {
+    fn new(workers: usize) -> Simulation {
+        Simulation {
             cell: Cell::new(workers).ready(),
             runs: Vec::new(),
             asked: Vec::new(),
@@ -67,7 +68,7 @@
         self.end_runs();
         self.answer();
         self.cell.engine.set_askers(HOSTS.saturating_sub(self.asked.len() + self.waiting.len()));
-        self.cell.plan().into_iter().for_each(|action| self.act(action));
+        self.cell.plan().into_iter().for_each(|action| self.apply(action));
         while self.asked.len() < HOSTS && !self.waiting.is_empty() {
             let question = self.waiting.remove(0);
             self.asked.push((self.cell.now + question.cost, question));
@@ -75,15 +76,15 @@
         self.cell.now += TICK;
     }
 
-    fn act(&mut self, action: Action) {
+    fn apply(&mut self, action: Action) {
         let now = self.cell.now;
         match action {
             Action::Start(worker, start) => {
                 let job = start.task.unit.job;
                 let waited = now - self.submitted[&job];
                 self.waits.entry(job).or_insert(waited);
-                self.cell.started(&worker, &start);
-                let takes = if job < FIRST_GANG { PATIENT_TAKES } else { GANG_TAKES };
+                self.cell.confirm_start(&worker, &start);
+                let takes = if job < FIRST_GANG { PATIENT_RUN_TIME } else { GANG_RUN_TIME };
                 self.runs.push(Run { worker, start, ends: now + takes, how: RunOutcome::Done });
             }
             Action::Ask(question) => self.waiting.push(question),
@@ -91,17 +92,17 @@
                 self.stops += 1;
                 self.cell.engine.stop_accepted(&worker, task, attempt);
                 let run = self.runs.iter_mut().find(|run| run.start.task == task && run.start.attempt == attempt);
-                if let Some(run) = run.filter(|run| run.ends > now + STOP) {
-                    (run.ends, run.how) = (now + STOP, RunOutcome::Stopped);
+                if let Some(run) = run.filter(|run| run.ends > now + STOP_TIME) {
+                    (run.ends, run.how) = (now + STOP_TIME, RunOutcome::Stopped);
                 }
             }
-            Action::Forget(_) => panic!("no worker goes"),
+            Action::Forget(_) => panic!("no worker is removed"),
         }
     }
 
-    /// Lets all workers tell what runs, now and then.
+    /// Reports the running tasks of all workers, at fixed intervals.
     fn report(&mut self) {
-        if self.cell.now < self.reported + REPORT {
+        if self.cell.now < self.reported + REPORT_INTERVAL {
             return;
         }
         self.reported = self.cell.now;
@@ -136,18 +137,19 @@
         }
     }
 
-    /// Plays the load for a while. The waits of gangs and of patient jobs that came while the cell was full, in order.
-    fn press(&mut self, time: Duration) -> (Vec<Duration>, Vec<Duration>) {
-        let patient = Step { checkpoints: true, estimate: PATIENT_TAKES, ..step(25, 2) };
-        let gang = Step { gang: true, estimate: GANG_TAKES, ..step(10, 5) };
+    /// Runs the load until `time`. Returns the sorted waits of gangs and of patient jobs that were submitted
+    /// while the cell was full.
+    fn run_load(&mut self, time: Duration) -> (Vec<Duration>, Vec<Duration>) {
+        let patient = Step { checkpoints: true, estimate: PATIENT_RUN_TIME, ..step(25, 2) };
+        let gang = Step { gang: true, estimate: GANG_RUN_TIME, ..step(10, 5) };
         let (mut patients, mut gangs) = (0, FIRST_GANG);
-        let full = PATIENT_TAKES;
+        let full = PATIENT_RUN_TIME;
         while self.cell.now < time {
-            if self.cell.now >= PATIENT_EVERY * patients as u32 {
+            if self.cell.now >= PATIENT_INTERVAL * patients as u32 {
                 patients += 1;
                 self.submit(patients, "patient", patient.clone());
             }
-            if self.cell.now >= full + GANG_EVERY * (gangs - FIRST_GANG) as u32 {
+            if self.cell.now >= full + GANG_INTERVAL * (gangs - FIRST_GANG) as u32 {
                 gangs += 1;
                 self.submit(gangs, "advised", gang.clone());
             }
@@ -167,36 +169,37 @@
 }
 
 #[test]
-fn gangs_start_in_time_on_a_full_cell_and_patient_jobs_can_spare_it() {
-    let mut play = Play::new(100);
-    let (gangs, patients) = play.press(Duration::from_secs(25));
+fn gangs_start_in_time_on_a_full_cell_and_preempted_jobs_meet_their_objective() {
+    let mut simulation = Simulation::new(100);
+    let (gangs, patients) = simulation.run_load(Duration::from_secs(25));
     assert!(gangs.len() >= 15 && patients.len() >= 100, "{} and {}", gangs.len(), patients.len());
     // The objective leaves a gang 5 s, and a patient job 4.4 s.
     let most = *gangs.last().expect("some");
-    assert!(most <= Duration::from_secs(3), "gangs wait {gangs:?} with {} stops", play.stops);
+    assert!(most <= Duration::from_secs(3), "gangs wait {gangs:?} with {} stops", simulation.stops);
     let slow = patients[patients.len() * 95 / 100];
     assert!(slow <= Duration::from_millis(1500), "95 of 100 patient jobs wait {slow:?}");
 }
 
 #[test]
-fn nothing_is_stopped_where_that_is_not_enough() {
-    let mut play = Play::new(10);
-    play.submit(1, "patient", Step { checkpoints: true, estimate: PATIENT_TAKES, ..step(60, 2) });
-    (0..100).for_each(|_| play.tick());
-    // Three of the ten workers hold nine of its tasks at most.
-    play.submit(FIRST_GANG + 1, "advised", Step { gang: true, estimate: GANG_TAKES, ..step(10, 5) });
-    (0..200).for_each(|_| play.tick());
-    assert_eq!(play.stops, 0);
+fn nothing_is_preempted_if_that_does_not_make_enough_room() {
+    let mut simulation = Simulation::new(10);
+    simulation.submit(1, "patient", Step { checkpoints: true, estimate: PATIENT_RUN_TIME, ..step(60, 2) });
+    (0..100).for_each(|_| simulation.tick());
+    // The three allowed of the ten workers have room for nine of its tasks at most.
+    simulation.submit(FIRST_GANG + 1, "advised", Step { gang: true, estimate: GANG_RUN_TIME, ..step(10, 5) });
+    (0..200).for_each(|_| simulation.tick());
+    assert_eq!(simulation.stops, 0);
 }
 
 #[test]
-fn what_has_no_time_to_spare_is_not_stopped() {
-    let mut play = Play::new(10);
-    // The objective of a patient job is twice its estimate and a second: with 0.1 s there is none left after 1.2 s.
-    let hurried = Step { checkpoints: true, estimate: Duration::from_millis(100), ..step(80, 2) };
-    play.submit(1, "patient", hurried);
-    (0..100).for_each(|_| play.tick());
-    play.submit(FIRST_GANG + 1, "advised", Step { gang: true, estimate: GANG_TAKES, ..step(3, 5) });
-    (0..150).for_each(|_| play.tick());
-    assert_eq!(play.stops, 0);
+fn jobs_without_slack_are_not_preempted() {
+    let mut simulation = Simulation::new(10);
+    // The objective of a patient job is twice its estimate plus a second: with an estimate of 0.1 s no slack is
+    // left after 1.2 s.
+    let urgent_step = Step { checkpoints: true, estimate: Duration::from_millis(100), ..step(80, 2) };
+    simulation.submit(1, "patient", urgent_step);
+    (0..100).for_each(|_| simulation.tick());
+    simulation.submit(FIRST_GANG + 1, "advised", Step { gang: true, estimate: GANG_RUN_TIME, ..step(3, 5) });
+    (0..150).for_each(|_| simulation.tick());
+    assert_eq!(simulation.stops, 0);
 }
--- a/components/sched/tests/decisions/cell/mod.rs
+++ b/components/sched/tests/decisions/cell/mod.rs
@@ -1,4 +1,4 @@
-//! A small cell for tests of single decisions: an engine, its workers, and a log that is written at once.
+//! A small simulated cell for tests of single decisions: an engine, its workers, and a log that is written at once.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,54 +13,55 @@
     pub now: Duration,
     pub log: Vec<Record>,
     pub infos: BTreeMap<WorkerId, WorkerInfo>,
-    pub numbers: BTreeMap<WorkerId, u64>,
+    /// Number of the last end that each worker has listed.
+    pub end_numbers: BTreeMap<WorkerId, u64>,
 }
 
 impl Cell {
-    /// A cell of so many workers with 16 cores each, all in contact.
+    /// A cell of `workers` workers with 16 cores each, all reachable.
     pub fn new(workers: usize) -> Cell {
-        Cell::after(workers, 1, &[])
+        Cell::from_log(workers, 1, &[])
     }
 
-    /// The cell of a leader that finds this log.
-    pub fn after(workers: usize, term: Term, log: &[Record]) -> Cell {
-        Cell::with(Limits::example(), config(), workers, term, log)
+    /// The cell of a leader that starts with this log.
+    pub fn from_log(workers: usize, term: Term, log: &[Record]) -> Cell {
+        Cell::create(Limits::example(), config(), workers, term, log)
     }
 
-    /// The same with other limits.
-    pub fn limited(limits: Limits, workers: usize, term: Term, log: &[Record]) -> Cell {
-        Cell::with(limits, config(), workers, term, log)
+    /// Like [`Cell::from_log`], with other time limits.
+    pub fn with_limits(limits: Limits, workers: usize, term: Term, log: &[Record]) -> Cell {
+        Cell::create(limits, config(), workers, term, log)
     }
 
-    /// The same for a leader that doesn't know the configuration yet.
+    /// Like [`Cell::from_log`], for a leader that doesn't know the configuration yet.
     pub fn unconfigured(workers: usize, term: Term, log: &[Record]) -> Cell {
-        Cell::with(Limits::example(), Arc::new(Config::default()), workers, term, log)
+        Cell::create(Limits::example(), Arc::new(Config::default()), workers, term, log)
     }
 
-    /// A cell whose workspaces `small` and `large` may have 8 and 32 cores running.
-    pub fn shared(workers: usize) -> Cell {
-        Cell::shared_after(workers, 1, &[])
+    /// A cell whose workspaces `small` and `large` are limited to 8 and 32 running cores.
+    pub fn with_workspaces(workers: usize) -> Cell {
+        Cell::with_workspaces_from_log(workers, 1, &[])
     }
 
-    /// The same under a leader that finds this log.
-    pub fn shared_after(workers: usize, term: Term, log: &[Record]) -> Cell {
-        Cell::with(Limits::example(), limited_to(1, 8), workers, term, log)
+    /// Like [`Cell::with_workspaces`], for a leader that starts with this log.
+    pub fn with_workspaces_from_log(workers: usize, term: Term, log: &[Record]) -> Cell {
+        Cell::create(Limits::example(), config_with_limit(1, 8), workers, term, log)
     }
 
-    fn with(limits: Limits, config: Arc<Config>, workers: usize, term: Term, log: &[Record]) -> Cell {
+    fn create(limits: Limits, config: Arc<Config>, workers: usize, term: Term, log: &[Record]) -> Cell {
         let clock = Clock::default();
         let mut engine = Engine::new(limits, term, config, clock.now);
         log.iter().cloned().for_each(|record| engine.replay(clock, record));
         engine.finish_replay(clock);
         let infos = (0..workers).map(|number| (format!("w{number}"), info(number))).collect();
-        Cell { engine, now: Duration::ZERO, log: log.to_vec(), infos, numbers: BTreeMap::new() }
+        Cell { engine, now: Duration::ZERO, log: log.to_vec(), infos, end_numbers: BTreeMap::new() }
     }
 
     pub fn clock(&self) -> Clock {
         Clock { now: self.now, wall: self.now }
     }
 
-    /// Lists all workers and hears from each that nothing runs.
+    /// Lists all workers and reports for each that nothing runs there.
     pub fn ready(mut self) -> Cell {
         self.engine.update_workers(self.clock(), self.infos.clone());
         self.write();
@@ -69,7 +70,7 @@
         self
     }
 
-    /// Writes all records.
+    /// Writes all pending records to the log.
     pub fn write(&mut self) {
         while self.engine.has_pending_records() {
             let (records, upto) = self.engine.take_records(1_000_000);
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Writes all workers anew, as if the parts of the log that name them were removed.
+    /// Rewrites the records of all workers, as when the parts of the log that name them are removed.
     pub fn rewrite_workers(&mut self) {
         let ids: Vec<WorkerId> = self.engine.addresses().into_iter().map(|(id, _)| id).collect();
         self.engine.rewrite_workers(ids);
@@ -90,12 +91,12 @@
         self.engine.report(self.clock(), id, report);
     }
 
-    /// Accepts a job and writes it.
+    /// Accepts a job and writes its record.
     pub fn submit(&mut self, id: JobId, queue: &str, steps: Vec<Step>) {
         self.submit_for(None, id, queue, steps);
     }
 
-    /// The same for a workspace.
+    /// Like [`Cell::submit`], for a workspace.
     pub fn submit_for(&mut self, workspace: Option<&str>, id: JobId, queue: &str, steps: Vec<Step>) {
         let job = Job { specification: "text".to_owned(), steps, schedule: None };
         let owner = Owner { queue: queue.to_owned(), workspace: workspace.map(str::to_owned) };
@@ -103,14 +104,14 @@
         self.write();
     }
 
-    /// Decides, writes, and returns what is to be done.
+    /// Runs a planning pass, writes its records, and returns its actions.
     pub fn plan(&mut self) -> Vec<Action> {
         self.engine.plan(self.clock());
         self.write();
         self.engine.take_actions()
     }
 
-    /// Decides and returns the starts only.
+    /// Runs a planning pass and returns only the starts.
     pub fn starts(&mut self) -> Vec<(WorkerId, Start)> {
         let starts = self.plan().into_iter().filter_map(|action| match action {
             Action::Start(worker, start) => Some((worker, start)),
@@ -119,13 +120,13 @@
         starts.collect()
     }
 
-    pub fn started(&mut self, worker: &str, start: &Start) {
+    pub fn confirm_start(&mut self, worker: &str, start: &Start) {
         self.engine.start_answered(self.clock(), worker, start.task, start.attempt, OrderOutcome::Started);
     }
 
-    /// The worker lists the end of a run; `others` still run there.
+    /// The worker lists the end of a run, while `others` still run there.
     pub fn end_beside(&mut self, worker: &str, start: &Start, how: RunOutcome, others: &[Running]) {
-        let number = self.numbers.entry(worker.to_owned()).or_default();
+        let number = self.end_numbers.entry(worker.to_owned()).or_default();
         *number += 1;
         let end =
             End { number: *number, task: start.task, attempt: start.attempt, outcome: how, checkpoint: String::new() };
@@ -143,7 +144,7 @@
     Running { task: start.task, attempt: start.attempt, checkpoint: String::new(), percent: 10 }
 }
 
-/// A step of so many tasks with so many cores each.
+/// A step of `count` tasks that need `cores` cores each.
 pub fn step(count: u32, cores: u32) -> Step {
     Step { count, need: Resources::new(cores, 100, 0), estimate: Duration::from_secs(1), ..Step::default() }
 }
@@ -160,8 +161,8 @@
     }
 }
 
-/// The configuration of this version in which workspace `small` may have so many cores running, and `large` 32.
-pub fn limited_to(version: u64, cores: u32) -> Arc<Config> {
+/// Configuration `version`, in which workspace `small` is limited to `cores` running cores, and `large` to 32.
+pub fn config_with_limit(version: u64, cores: u32) -> Arc<Config> {
     let workspace = |name: &str, cores| Workspace {
         name: name.to_owned(),
         keys: Vec::new(),
@@ -172,7 +173,7 @@
     Arc::new(config.with_workspaces(vec![workspace("small", cores), workspace("large", 32)]))
 }
 
-/// The configuration of all cells.
+/// The configuration of cells without workspaces.
 pub fn config() -> Arc<Config> {
     let advice = Advice {
         base: Duration::from_millis(500),
