--- a/components/sched/examples/backlog.rs
+++ b/components/sched/examples/backlog.rs
@@ -1,7 +1,7 @@
 //! Measures a planning pass of the leader while many jobs wait: `cargo run --release -p sched --example backlog`.
 //!
-//! All workers are full, so that nothing starts; a share of the workers may run each job, by the adviser's word. What is
-//! printed is the processor's time for one pass, which every event of the leader may cause.
+//! All workers are full, so that nothing starts, and the advice service allows a share of the workers to run each
+//! job. It prints the CPU time of one pass, which any event at the leader may cause.
 
 mod cell;
 
@@ -10,41 +10,46 @@
 use sched::{Action, Clock, Engine, OrderOutcome, Owner, Report};
 use work::{Advice, Job, Queue};
 
-/// Workers of the cells that are measured.
+/// Numbers of workers in the measured cells.
 const CELLS: [usize; 2] = [350, 3000];
-/// Jobs that wait in each measurement.
+/// Numbers of waiting jobs that are measured.
 const BACKLOGS: [usize; 5] = [1, 100, 500, 1000, 2000];
-/// Passes that are measured in each, after as many that aren't.
+/// Number of measured passes, after as many for warming up.
 const PASSES: u32 = 20;
-/// Time between two passes: the leader's shortest.
+/// Time between two passes: the shortest that the leader uses.
 const TICK: Duration = Duration::from_millis(2);
-/// One worker in so many may run a job.
-const ALLOWED: usize = 2;
-/// Tasks of a waiting job.
-const WIDTH: u32 = 20;
+/// One in this many workers may run a job.
+const ALLOWED_INTERVAL: usize = 2;
+/// Number of tasks of a waiting job.
+const TASKS_PER_JOB: u32 = 20;
 /// CPU of a waiting task, in thousandths of a core.
 const WAITING_CPU_MILLI: u32 = 1700;
 /// CPU of a task that fills a worker, in thousandths of a core.
 const WHOLE_CPU_MILLI: u32 = 16_000;
-/// The first waiting job: the numbers below are those of jobs that run.
+/// Id of the first waiting job; lower ids belong to running jobs.
 const FIRST_WAITING: u64 = 1_000_000;
 
 fn main() {
     for workers in CELLS {
-        println!("{workers} workers, all full; jobs of {WIDTH} tasks");
+        println!("{workers} workers, all full; jobs of {TASKS_PER_JOB} tasks");
         for jobs in BACKLOGS {
             let pass = measure(workers, jobs);
-            println!("{jobs:>6} waiting jobs: {:>9.3} ms a pass", pass.as_secs_f64() * 1e3);
+            println!("{jobs:>6} waiting jobs: {:>9.3} ms per pass", pass.as_secs_f64() * 1e3);
         }
     }
 }
 
-/// Mean time of a pass with so many workers and waiting jobs.
+/// Mean time of a pass with this many workers and waiting jobs.
 fn measure(workers: usize, jobs: usize) -> Duration {
     let mut clock = cell::start();
-    let mut engine = full(clock, workers);
+    let mut engine = full_engine(clock, workers);
     for id in 0..jobs {
-        engine.accept(clock, FIRST_WAITING + id as u64, Owner::public("patient"), job(WIDTH, WAITING_CPU_MILLI));
+        engine.accept(
+            clock,
+            FIRST_WAITING + id as u64,
+            Owner::public("patient"),
+            job(TASKS_PER_JOB, WAITING_CPU_MILLI),
+        );
     }
     cell::write(&mut engine, clock);
     for _ in 0..PASSES {
@@ -57,7 +62,7 @@
 }
 
 /// A leader whose workers are all full.
-fn full(clock: Clock, workers: usize) -> Engine {
+fn full_engine(clock: Clock, workers: usize) -> Engine {
     let mut engine = cell::engine(queues());
     let infos = cell::workers(workers);
     engine.update_workers(clock, infos.clone());
@@ -66,12 +71,12 @@
     for id in infos.keys() {
         engine.report(clock, id, empty.clone());
     }
-    fill(&mut engine, clock, workers);
+    fill_workers(&mut engine, clock, workers);
     engine
 }
 
 /// Fills every worker with one large task.
-fn fill(engine: &mut Engine, clock: Clock, workers: usize) {
+fn fill_workers(engine: &mut Engine, clock: Clock, workers: usize) {
     engine.accept(clock, 1, Owner::public("plain"), job(workers as u32, WHOLE_CPU_MILLI));
     engine.plan(clock);
     cell::write(engine, clock);
@@ -82,7 +87,7 @@
     }
 }
 
-/// Plans once, and answers the questions. The time of the planning alone.
+/// Runs a planning pass, answers its questions, and returns the time of the planning alone.
 fn pass(engine: &mut Engine, clock: &mut Clock) -> Duration {
     let began = Instant::now();
     engine.plan(*clock);
@@ -92,26 +97,26 @@
     spent
 }
 
-/// Answers every question at once: every second worker may run anything.
+/// Answers each question at once: every second worker may run anything.
 fn answer(engine: &mut Engine, clock: Clock) {
     for action in engine.take_actions() {
         if let Action::Ask(question) = action {
-            let healthy = question.workers.iter().filter(|worker| allowed(worker));
+            let healthy = question.workers.iter().filter(|worker| is_allowed(worker));
             let tickets = cell::tickets(healthy, clock.now + question.validity);
             engine.advice_received(question.unit, &question.workers, tickets);
         }
     }
 }
 
-fn allowed(worker: &str) -> bool {
-    worker.bytes().map(usize::from).sum::<usize>().is_multiple_of(ALLOWED)
+fn is_allowed(worker: &str) -> bool {
+    worker.bytes().map(usize::from).sum::<usize>().is_multiple_of(ALLOWED_INTERVAL)
 }
 
 fn job(count: u32, cpu_milli: u32) -> Job {
     cell::job(count, cpu_milli, 3600, Duration::from_secs(2))
 }
 
-/// A queue without an adviser, and one with.
+/// A queue without advice and one with it.
 fn queues() -> Vec<Queue> {
     let advice = Advice {
         base: Duration::from_millis(80),
--- a/components/sched/examples/flow.rs
+++ b/components/sched/examples/flow.rs
@@ -1,5 +1,5 @@
-//! Measures what a steady flow of jobs costs the leader's decisions, by the number of workers:
-//! `cargo run --release -p sched --example flow`. Time is virtual; what is printed is the processor's time for a second of it.
+//! Measures the CPU time of the leader's decisions at a steady rate of jobs, by number of workers:
+//! `cargo run --release -p sched --example flow`. Time is simulated; it prints the CPU time per simulated second.
 
 mod cell;
 
@@ -11,29 +11,29 @@
 };
 use work::{Advice, Job, JobId, Queue, WorkerId};
 
-/// Workers of the cells that are measured.
+/// Numbers of workers in the measured cells.
 const CELLS: [usize; 5] = [300, 1000, 3000, 6000, 12_000];
-/// Virtual time of a measurement.
+/// Simulated duration of a measurement in seconds.
 const SECONDS: u64 = 10;
-/// Time between two passes: the leader's shortest.
+/// Time between two passes: the shortest that the leader uses.
 const TICK: Duration = Duration::from_millis(2);
-/// Jobs a second, and their tasks.
-const JOBS_A_SECOND: u64 = 140;
-const WIDTH: u32 = 4;
-/// How long a run takes.
-const TAKES: Duration = Duration::from_millis(1200);
-/// How often the list of workers is read: about as often as the leader does.
-const LIST: Duration = Duration::from_millis(500);
-/// A worker on which nothing ends is renewed once in so many passes: once a second.
+/// Number of jobs per second, and of tasks per job.
+const JOBS_PER_SECOND: u64 = 140;
+const TASKS_PER_JOB: u32 = 4;
+/// Duration of a run.
+const RUN_TIME: Duration = Duration::from_millis(1200);
+/// Interval between reads of the list of workers; about that of the leader.
+const LIST_INTERVAL: Duration = Duration::from_millis(500);
+/// A worker on which no run ends is renewed once in this many passes, that is once a second.
 const RENEWAL_PASSES: usize = 500;
-/// A run's progress rises by a hundredth in this many milliseconds.
+/// Milliseconds in which a run progresses by one percent.
 const PERCENT_MS: u128 = 20;
-/// One in so many of the workers that the adviser is asked about may run a job.
-const ALLOWED: usize = 2;
+/// One in this many of the workers that a question names may run a job.
+const ALLOWED_INTERVAL: usize = 2;
 
-/// Processor time of each kind of call.
+/// CPU time by kind of call.
 #[derive(Default)]
-struct Spent {
+struct CpuTime {
     plan: Duration,
     report: Duration,
     list: Duration,
@@ -45,20 +45,21 @@
 #[derive(Default)]
 struct Worker {
     runs: Vec<(Start, Duration)>,
-    ends: u64,
+    /// Number of the last end.
+    last_end: u64,
 }
 
 fn main() {
-    println!("{JOBS_A_SECOND} jobs of {WIDTH} tasks a second; ms of processor time a second");
+    println!("{JOBS_PER_SECOND} jobs of {TASKS_PER_JOB} tasks per second; ms of CPU time per second");
     println!("{:>8} {:>8} {:>8} {:>8} {:>8} {:>8}", "workers", "plan", "report", "list", "advice", "rest");
     for workers in CELLS {
-        let spent = Cell::new(workers).flow();
+        let cpu_time = Cell::new(workers).run_load();
         let ms = |time: Duration| time.as_secs_f64() * 1e3 / SECONDS as f64;
-        let (plan, report, list) = (ms(spent.plan), ms(spent.report), ms(spent.list));
+        let (plan, report, list) = (ms(cpu_time.plan), ms(cpu_time.report), ms(cpu_time.list));
         println!(
             "{workers:>8} {plan:>8.1} {report:>8.1} {list:>8.1} {:>8.1} {:>8.1}",
-            ms(spent.advice),
-            ms(spent.rest)
+            ms(cpu_time.advice),
+            ms(cpu_time.rest)
         );
     }
 }
@@ -68,10 +69,10 @@
     clock: Clock,
     infos: BTreeMap<WorkerId, WorkerInfo>,
     workers: BTreeMap<WorkerId, Worker>,
-    spent: Spent,
+    cpu_time: CpuTime,
 }
 
-/// Runs `work` and adds its time to `sum`.
+/// Calls `work` and adds its duration to `sum`.
 fn timed<T>(sum: &mut Duration, work: impl FnOnce() -> T) -> T {
     let began = Instant::now();
     let done = work();
@@ -86,48 +87,48 @@
         let infos = cell::workers(count);
         engine.update_workers(clock, infos.clone());
         let workers = infos.keys().map(|id| (id.clone(), Worker::default())).collect();
-        let mut cell = Cell { engine, clock, infos, workers, spent: Spent::default() };
+        let mut cell = Cell { engine, clock, infos, workers, cpu_time: CpuTime::default() };
         cell.write();
         let ids: Vec<WorkerId> = cell.infos.keys().cloned().collect();
         ids.iter().for_each(|id| cell.renew(id));
         cell
     }
 
-    /// Plays the flow. What it cost.
-    fn flow(mut self) -> Spent {
-        self.spent = Spent::default();
+    /// Runs the load, and returns the CPU time that it took.
+    fn run_load(mut self) -> CpuTime {
+        self.cpu_time = CpuTime::default();
         let begun = self.clock.now;
         let mut jobs: JobId = 0;
         let mut listed = begun;
         while self.clock.now < begun + Duration::from_secs(SECONDS) {
-            let due = (self.clock.now - begun).as_millis() as u64 * JOBS_A_SECOND / 1000;
+            let due = (self.clock.now - begun).as_millis() as u64 * JOBS_PER_SECOND / 1000;
             (jobs + 1..=due).for_each(|id| self.accept(id));
             jobs = due;
-            if self.clock.now - listed > LIST {
+            if self.clock.now - listed > LIST_INTERVAL {
                 listed = self.clock.now;
                 self.list();
             }
             self.renew_due();
             let clock = self.clock;
-            timed(&mut self.spent.plan, || self.engine.plan(clock));
+            timed(&mut self.cpu_time.plan, || self.engine.plan(clock));
             self.write();
-            self.act();
+            self.apply();
             self.clock.now += TICK;
         }
-        self.spent
+        self.cpu_time
     }
 
     fn accept(&mut self, id: JobId) {
         let clock = self.clock;
-        timed(&mut self.spent.rest, || self.engine.accept(clock, id, Owner::public("checks"), job()));
+        timed(&mut self.cpu_time.rest, || self.engine.accept(clock, id, Owner::public("checks"), job()));
     }
 
     fn list(&mut self) {
         let (clock, infos) = (self.clock, self.infos.clone());
-        timed(&mut self.spent.list, || self.engine.update_workers(clock, infos));
+        timed(&mut self.cpu_time.list, || self.engine.update_workers(clock, infos));
     }
 
-    /// Renews workers on which a run has ended, and all others now and then.
+    /// Renews the workers on which a run has ended, and all others at fixed intervals.
     fn renew_due(&mut self) {
         let now = self.clock.now;
         let turn = (now.as_millis() / TICK.as_millis()) as usize % RENEWAL_PASSES;
@@ -138,16 +139,16 @@
         ids.iter().for_each(|id| self.renew(id));
     }
 
-    /// Reports the runs of a worker and those that have ended since.
+    /// Reports a worker's runs and the ends since its last report.
     fn renew(&mut self, id: &WorkerId) {
         let (mark, now) = (self.engine.mark(), self.clock.now);
         let Some(worker) = self.workers.get_mut(id) else { return };
         let (over, running): (Vec<_>, Vec<_>) = worker.runs.drain(..).partition(|(_, ends)| *ends <= now);
         worker.runs = running;
         let ended = over.iter().map(|(start, _)| {
-            worker.ends += 1;
+            worker.last_end += 1;
             End {
-                number: worker.ends,
+                number: worker.last_end,
                 task: start.task,
                 attempt: start.attempt,
                 outcome: RunOutcome::Done,
@@ -163,15 +164,15 @@
         });
         let report = Report { mark, running: running.collect(), ended };
         let clock = self.clock;
-        timed(&mut self.spent.report, || self.engine.report(clock, id, report));
+        timed(&mut self.cpu_time.report, || self.engine.report(clock, id, report));
     }
 
     fn write(&mut self) {
         let clock = self.clock;
-        timed(&mut self.spent.rest, || cell::write(&mut self.engine, clock));
+        timed(&mut self.cpu_time.rest, || cell::write(&mut self.engine, clock));
     }
 
-    fn act(&mut self) {
+    fn apply(&mut self) {
         for action in self.engine.take_actions() {
             match action {
                 Action::Start(worker, start) => self.start(&worker, start),
@@ -186,22 +187,22 @@
         let clock = self.clock;
         let (task, attempt) = (start.task, start.attempt);
         if let Some(there) = self.workers.get_mut(worker) {
-            there.runs.push((start, clock.now + TAKES));
+            there.runs.push((start, clock.now + RUN_TIME));
         }
         let ordered = || self.engine.start_answered(clock, worker, task, attempt, OrderOutcome::Started);
-        timed(&mut self.spent.rest, ordered);
+        timed(&mut self.cpu_time.rest, ordered);
     }
 
     /// Answers a question at once.
     fn advise(&mut self, question: &Question) {
-        let healthy = question.workers.iter().step_by(ALLOWED);
+        let healthy = question.workers.iter().step_by(ALLOWED_INTERVAL);
         let tickets = cell::tickets(healthy, self.clock.now + question.validity);
-        timed(&mut self.spent.advice, || self.engine.advice_received(question.unit, &question.workers, tickets));
+        timed(&mut self.cpu_time.advice, || self.engine.advice_received(question.unit, &question.workers, tickets));
     }
 }
 
 fn job() -> Job {
-    cell::job(WIDTH, 2500, 5000, TAKES)
+    cell::job(TASKS_PER_JOB, 2500, 5000, RUN_TIME)
 }
 
 fn queue() -> Queue {
--- a/components/sched/tests/decisions/cell/mod.rs
+++ b/components/sched/tests/decisions/cell/mod.rs
@@ -125,18 +125,17 @@
     }
 
     /// The worker lists the end of a run, while `others` still run there.
-    pub fn end_beside(&mut self, worker: &str, start: &Start, how: RunOutcome, others: &[Running]) {
+    pub fn end_beside(&mut self, worker: &str, start: &Start, outcome: RunOutcome, others: &[Running]) {
         let number = self.end_numbers.entry(worker.to_owned()).or_default();
         *number += 1;
-        let end =
-            End { number: *number, task: start.task, attempt: start.attempt, outcome: how, checkpoint: String::new() };
+        let end = End { number: *number, task: start.task, attempt: start.attempt, outcome, checkpoint: String::new() };
         self.report(worker, others, &[end]);
         self.write();
     }
 
     /// The worker lists the end of a run, and nothing else runs there.
-    pub fn end(&mut self, worker: &str, start: &Start, how: RunOutcome) {
-        self.end_beside(worker, start, how, &[]);
+    pub fn end(&mut self, worker: &str, start: &Start, outcome: RunOutcome) {
+        self.end_beside(worker, start, outcome, &[]);
     }
 }
 
--- a/components/sched/tests/latency.rs
+++ b/components/sched/tests/latency.rs
@@ -1,49 +1,49 @@
-//! How long an answer is waited for.
+//! Timeouts that are derived from observed answer times.
 
 use std::time::Duration;
 
 use sched::Latency;
 
-const LEAST: Duration = Duration::from_millis(80);
-const MOST: Duration = Duration::from_millis(450);
+const MIN_TIMEOUT: Duration = Duration::from_millis(80);
+const MAX_TIMEOUT: Duration = Duration::from_millis(450);
 
-fn after(answers: &[u64]) -> Duration {
+fn timeout_after(answers: &[u64]) -> Duration {
     let mut latency = Latency::default();
     answers.iter().for_each(|took| latency.observe(Duration::from_millis(*took)));
-    latency.timeout(LEAST, MOST)
+    latency.timeout(MIN_TIMEOUT, MAX_TIMEOUT)
 }
 
 #[test]
-fn before_the_first_answer_the_longest_time_is_waited() {
-    assert_eq!(after(&[]), MOST);
+fn before_the_first_answer_the_timeout_is_the_maximum() {
+    assert_eq!(timeout_after(&[]), MAX_TIMEOUT);
 }
 
 #[test]
-fn quick_answers_shorten_the_wait_to_its_least() {
-    assert_eq!(after(&[5; 20]), LEAST);
+fn fast_answers_shorten_the_timeout_to_the_minimum() {
+    assert_eq!(timeout_after(&[5; 20]), MIN_TIMEOUT);
 }
 
 #[test]
-fn slow_answers_lengthen_it_within_bounds() {
-    let slow = after(&[5, 5, 5, 5, 100, 100, 100]);
-    assert!(slow > Duration::from_millis(100) && slow < MOST, "{slow:?}");
-    assert_eq!(after(&[900; 10]), MOST);
+fn slow_answers_lengthen_the_timeout_up_to_the_maximum() {
+    let slow = timeout_after(&[5, 5, 5, 5, 100, 100, 100]);
+    assert!(slow > Duration::from_millis(100) && slow < MAX_TIMEOUT, "{slow:?}");
+    assert_eq!(timeout_after(&[900; 10]), MAX_TIMEOUT);
 }
 
 #[test]
-fn steady_answers_leave_little_room_above_them() {
-    let steady = after(&[200; 40]);
+fn steady_answers_give_a_timeout_close_to_their_time() {
+    let steady = timeout_after(&[200; 40]);
     assert!(steady > Duration::from_millis(199) && steady < Duration::from_millis(220), "{steady:?}");
 }
 
 #[test]
-fn answers_that_become_slow_are_learnt_of() {
+fn timeouts_lengthen_the_timeout_until_the_next_answer() {
     let mut latency = Latency::default();
     (0..20).for_each(|_| latency.observe(Duration::from_millis(5)));
     latency.record_timeout();
-    assert_eq!(latency.timeout(LEAST, MOST), 2 * LEAST);
+    assert_eq!(latency.timeout(MIN_TIMEOUT, MAX_TIMEOUT), 2 * MIN_TIMEOUT);
     (0..9).for_each(|_| latency.record_timeout());
-    assert_eq!(latency.timeout(LEAST, MOST), MOST);
+    assert_eq!(latency.timeout(MIN_TIMEOUT, MAX_TIMEOUT), MAX_TIMEOUT);
     latency.observe(Duration::from_millis(5));
-    assert_eq!(latency.timeout(LEAST, MOST), LEAST, "a single one was lost");
+    assert_eq!(latency.timeout(MIN_TIMEOUT, MAX_TIMEOUT), MIN_TIMEOUT, "an answer resets the timeout");
 }
--- a/components/sched/tests/world/checks.rs
+++ b/components/sched/tests/world/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold at any moment, and at the end.
+//! Guarantees that must hold at any moment, and at the end.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,19 +10,21 @@
 
 use super::{MAX_ATTEMPTS, World};
 
-/// The platform lets workspaces have a tenth more running, and a task.
+/// The platform lets workspaces exceed their limits by one part in this many, plus one task.
 const OVERAGE: u32 = 10;
 
 impl World {
     pub(super) fn check_start(&self, sent: Duration, term: Term, start: &Start, job: &Job) {
         let task = start.task;
-        assert!(self.accepted.contains(&task.unit.job), "{task} was started before its job was kept");
-        // An order that the worker carries out late may have been sent before; its stop may be on its way.
+        assert!(self.accepted.contains(&task.unit.job), "{task} was started before its job was recorded");
+        // An order that the worker carries out late may have been sent before the cancellation; its stop may
+        // be on its way.
         let cancelled = self.cancelled.get(&task.unit.job).is_some_and(|at| *at <= sent);
         assert!(!cancelled, "the start of {task} was sent after its job was cancelled");
-        // A leader that was replaced can't know what its successors have learnt; their terms stop it at each worker.
+        // A replaced leader can't know what its successors have learnt; workers reject its orders because of
+        // its older term.
         let known = self.known_done.get(&task).is_some_and(|by| *by <= term);
-        assert!(!known, "{task} was started after it was known as done");
+        assert!(!known, "{task} was started after it was known to be done");
         for on in &job.steps[usize::from(task.unit.step)].after {
             let before = |index| Task { unit: work::Unit { step: *on, ..task.unit }, index };
             let step = &job.steps[usize::from(*on)];
@@ -31,10 +33,10 @@
             assert!(complete, "{task} was started before step {on} was done");
         }
         let failed = self.failed.get(&task).map_or(0, BTreeSet::len);
-        assert!(failed < MAX_ATTEMPTS as usize, "{task} was started beyond its attempts");
+        assert!(failed < MAX_ATTEMPTS as usize, "{task} was started after its attempts were used up");
     }
 
-    /// No worker is overcommitted, and no task runs twice.
+    /// Checks that no worker is overcommitted and no task runs twice.
     pub(super) fn check(&self) {
         let mut running: BTreeMap<Task, &str> = BTreeMap::new();
         for (id, worker) in &self.workers {
@@ -48,8 +50,9 @@
         self.check_limits();
     }
 
-    /// Whether nobody needs a run of a task any more: its job has ended, or it is done; one member that is stands for its gang.
-    fn is_left(&self, task: &Task) -> bool {
+    /// Whether a run of a task isn't needed any more: its job has ended, or it is done. A gang is done once one
+    /// member is.
+    fn is_leftover(&self, task: &Task) -> bool {
         if matches!(self.leader.engine.state(task.unit.job), Some(State::Ended(_))) {
             return true;
         }
@@ -58,13 +61,14 @@
         if step.gang { (0..step.count).any(done) } else { done(task.index) }
     }
 
-    /// No workspace has more running than it may. What is left of an order without an answer whose task was done elsewhere, or of a job
-    /// that has ended, isn't counted after a takeover while its worker is cut off. With it the platform's overage holds.
+    /// Checks that no workspace exceeds its limit. Leftover runs, of unanswered orders whose tasks were done
+    /// elsewhere or of jobs that have ended, aren't counted by a new leader while their worker is unreachable.
+    /// Including them, the overage of the platform holds.
     fn check_limits(&self) {
         for workspace in &self.config.workspaces {
             let of = |task: &Task| self.owners.get(&task.unit.job).is_some_and(|name| *name == workspace.name);
             let runs = self.workers.values().flat_map(|worker| &worker.runs).filter(|((task, _), _)| of(task));
-            let (leftovers, known): (Vec<_>, Vec<_>) = runs.partition(|((task, _), _)| self.is_left(task));
+            let (leftovers, known): (Vec<_>, Vec<_>) = runs.partition(|((task, _), _)| self.is_leftover(task));
             let sum = |runs: &[(&(Task, Attempt), &Run)]| {
                 runs.iter().fold(Resources::ZERO, |used, (_, run)| used.saturating_add(&run.need))
             };
@@ -77,7 +81,7 @@
             let over = |used: u32, limit: u32, task: u32| limit == 0 || used <= limit + limit / OVERAGE + task;
             let holds = over(all.cpu_milli, limit.cpu_milli, largest.cpu_milli)
                 && over(all.memory_mib, limit.memory_mib, largest.memory_mib);
-            assert!(holds, "{} uses {all} of {limit} with what is left at {:?}", workspace.name, self.now);
+            assert!(holds, "{} uses {all} of {limit} with leftover runs at {:?}", workspace.name, self.now);
         }
     }
 
@@ -94,7 +98,7 @@
         running.filter(ended).map(Task::to_string).collect()
     }
 
-    /// Whether a job shows as completed without all its tasks done.
+    /// Units of completed jobs whose tasks aren't all done.
     pub fn falsely_completed(&self) -> Vec<String> {
         let mut wrong = Vec::new();
         for (id, job) in &self.jobs {
--- a/components/sched/tests/world/jobs.rs
+++ b/components/sched/tests/world/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs that come, are cancelled, or are taken back.
+//! Random jobs that are submitted, cancelled, or withdrawn.
 
 use std::time::Duration;
 
@@ -10,9 +10,9 @@
 use super::{WORKSPACES, World};
 
 impl World {
-    pub(super) fn submit(&mut self) {
+    pub(super) fn submit_random_job(&mut self) {
         let id = self.rng.random();
-        let steps = (0..self.rng.random_range(1..3u16)).map(|number| self.any_step(number)).collect();
+        let steps = (0..self.rng.random_range(1..3u16)).map(|number| self.random_step(number)).collect();
         let job = Job { specification: String::new(), steps, schedule: None };
         job.check().expect("a valid job");
         let queue = if self.rng.random_bool(0.5) { "open" } else { "advised" };
@@ -31,7 +31,7 @@
         Owner { workspace: self.owners.get(&id).map(|name| (*name).to_owned()), ..Owner::public(queue) }
     }
 
-    fn any_step(&mut self, number: u16) -> Step {
+    fn random_step(&mut self, number: u16) -> Step {
         let step = Step {
             count: self.rng.random_range(1..4),
             need: Resources { cpu_milli: self.rng.random_range(500..4000), memory_mib: 100, accelerators: 0 },
@@ -40,14 +40,14 @@
             gang: self.rng.random_bool(0.4),
             ..Step::default()
         };
-        if !self.large {
+        if !self.large_tasks {
             return step;
         }
         let grown = if step.need.cpu_milli.is_multiple_of(8) { 4000 } else { 0 };
         Step { need: Resources { cpu_milli: step.need.cpu_milli + grown, ..step.need }, checkpoints: true, ..step }
     }
 
-    pub(super) fn cancel(&mut self) {
+    pub(super) fn cancel_random_job(&mut self) {
         let open: Vec<JobId> = self.accepted.iter().filter(|id| !self.cancelled.contains_key(*id)).copied().collect();
         if open.is_empty() {
             return;
@@ -57,9 +57,9 @@
         self.leader.engine.cancel(clock, id);
     }
 
-    /// Takes a job back that the store hasn't got yet, if there is one: it must never start. Every second one comes again at
-    /// once.
-    pub(super) fn withdraw(&mut self) {
+    /// Withdraws a job that isn't in the store yet, if there is one: it must never start. Every second one is
+    /// accepted again at once.
+    pub(super) fn withdraw_random_job(&mut self) {
         let open: Vec<JobId> = self.jobs.keys().filter(|id| !self.accepted.contains(id)).copied().collect();
         if open.is_empty() {
             return;
--- a/components/sched/tests/world/leader.rs
+++ b/components/sched/tests/world/leader.rs
@@ -12,9 +12,9 @@
     pub term: Term,
     pub leases: BTreeMap<WorkerId, Lease>,
     pub stops: Vec<(WorkerId, Task, Attempt)>,
-    /// When it last knew that it leads.
+    /// When its leadership was last confirmed.
     pub confirmed: Duration,
-    pub next_hold: BTreeMap<WorkerId, Duration>,
+    pub next_renewal: BTreeMap<WorkerId, Duration>,
 }
 
 impl Leader {
@@ -28,16 +28,16 @@
             leases: BTreeMap::new(),
             stops: Vec::new(),
             confirmed: clock.now,
-            next_hold: BTreeMap::new(),
+            next_renewal: BTreeMap::new(),
         }
     }
 
-    pub fn authorized(&self, now: Duration) -> bool {
+    pub fn is_authorized(&self, now: Duration) -> bool {
         now - self.confirmed < sched::AUTHORITY_TIMEOUT
     }
 
-    /// Takes what the engine wants done: starts and questions are returned, stops are kept until they are answered.
-    pub fn actions(&mut self) -> Vec<Action> {
+    /// Takes the engine's actions. Starts and questions are returned; stops are kept until they are answered.
+    pub fn take_actions(&mut self) -> Vec<Action> {
         let mut open = Vec::new();
         for action in self.engine.take_actions() {
             match action {
--- a/components/sched/tests/world/mod.rs
+++ b/components/sched/tests/world/mod.rs
@@ -1,10 +1,10 @@
-//! A simulated cell: workers, a log, leaders that replace each other, and a network that loses and delays.
+//! A simulated cell: workers, a log, leaders that replace each other, and a network that loses and delays messages.
 
 mod checks;
 mod crashes;
 mod jobs;
 mod leader;
-mod lies;
+mod list_faults;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -21,18 +21,18 @@
 use crashes::Crashes;
 use fakes::runner::{Reply, Run, Runner};
 use leader::Leader;
-use lies::Lies;
+use list_faults::ListFaults;
 
 const STEP: Duration = Duration::from_millis(20);
 const MAX_LEASE: Duration = Duration::from_secs(6);
 const MAX_ATTEMPTS: u32 = 3;
-/// Names of workspaces: the first may have so many cores running, the second so much memory.
+/// Names of the workspaces: the first one is limited in running cores, the second one in memory.
 const WORKSPACES: [&str; 2] = ["cores", "memory"];
-/// Priority of a queue whose tasks may be stopped for others.
-const PATIENT: u32 = 2;
+/// Priority of a queue whose tasks may be preempted.
+const PREEMPTIBLE_PRIORITY: u32 = 2;
 
-/// A start that arrives later than its sender believes.
-struct Late {
+/// A start that arrives after its sender has given up waiting for the answer.
+struct DelayedStart {
     sent: Duration,
     at: Duration,
     worker: WorkerId,
@@ -49,33 +49,34 @@
     log: Vec<Record>,
     leader: Leader,
     /// A leader that was replaced and doesn't know it yet.
-    old: Option<Leader>,
-    late: Vec<Late>,
+    previous_leader: Option<Leader>,
+    delayed_starts: Vec<DelayedStart>,
     store_up: bool,
     jobs: BTreeMap<JobId, Job>,
     accepted: BTreeSet<JobId>,
-    /// When the cancel of each was written.
+    /// When the cancellation of each job was written.
     cancelled: BTreeMap<JobId, Duration>,
     done: BTreeSet<Task>,
-    /// Tasks known as done, with the term that wrote it down.
+    /// Tasks that are known to be done, with the term of the leader that recorded it.
     known_done: BTreeMap<Task, Term>,
-    /// Runs of each task that are known as failed.
+    /// Runs of each task that are known to have failed.
     failed: BTreeMap<Task, BTreeSet<Attempt>>,
-    lives: u32,
-    /// Whether some tasks are large, and all of them save.
-    large: bool,
-    /// Whose a job is, where workspaces have limits.
+    /// Number of worker incarnations so far.
+    incarnations: u32,
+    /// Whether some tasks are large, and all tasks write checkpoints.
+    large_tasks: bool,
+    /// The workspace of each job, if workspaces have limits.
     owners: BTreeMap<JobId, &'static str>,
-    /// Workers that went down under each task, whatever took them down.
+    /// Number of workers that ended while each task ran there, for any reason.
     ended_under: BTreeMap<Task, u32>,
-    /// The newest leader's term.
-    newest: Term,
-    /// What tasks that take workers down do, where there are such.
+    /// Term of the newest leader.
+    newest_term: Term,
+    /// State of tasks that crash workers, if there are any.
     crashes: Option<Crashes>,
-    /// Whether a machine's worker keeps its name, and only its birth tells its lives apart.
-    births: bool,
-    /// How the list lies, where it does.
-    lies: Option<Lies>,
+    /// Whether a machine's worker keeps its name, so that only the birth distinguishes its incarnations.
+    stable_names: bool,
+    /// Faults of the list of workers, if it has any.
+    list_faults: Option<ListFaults>,
 }
 
 impl World {
@@ -94,8 +95,8 @@
             workers: BTreeMap::new(),
             log: Vec::new(),
             leader,
-            old: None,
-            late: Vec::new(),
+            previous_leader: None,
+            delayed_starts: Vec::new(),
             store_up: true,
             jobs: BTreeMap::new(),
             accepted: BTreeSet::new(),
@@ -103,14 +104,14 @@
             done: BTreeSet::new(),
             known_done: BTreeMap::new(),
             failed: BTreeMap::new(),
-            lives: 0,
-            large: false,
+            incarnations: 0,
+            large_tasks: false,
             owners: BTreeMap::new(),
             ended_under: BTreeMap::new(),
-            newest: 1,
+            newest_term: 1,
             crashes: None,
-            births: false,
-            lies: None,
+            stable_names: false,
+            list_faults: None,
         };
         for place in 0..4 {
             world.boot(place);
@@ -118,21 +119,25 @@
         world
     }
 
-    /// The same with workers that are back under their former names.
-    pub fn with_births(mut self) -> World {
-        self.births = true;
+    /// The same, with workers that restart under their names.
+    pub fn with_stable_names(mut self) -> World {
+        self.stable_names = true;
         (0..4).for_each(|place| self.boot(place));
         self
     }
 
-    /// The same with some large tasks, for which others are stopped.
+    /// The same, with some large tasks, for which other tasks are preempted.
     pub fn with_large_tasks(seed: u64) -> World {
         let mut config = config();
-        config.queues.iter_mut().filter(|queue| queue.advice.is_none()).for_each(|queue| queue.priority = PATIENT);
-        World { large: true, ..World::with(seed, config) }
+        config
+            .queues
+            .iter_mut()
+            .filter(|queue| queue.advice.is_none())
+            .for_each(|queue| queue.priority = PREEMPTIBLE_PRIORITY);
+        World { large_tasks: true, ..World::with(seed, config) }
     }
 
-    /// The same with workspaces, whose limits hold at any moment.
+    /// The same, with workspaces, whose limits hold at any moment.
     pub fn with_workspaces(seed: u64) -> World {
         let limits =
             [Resources { cpu_milli: 5000, ..Resources::ZERO }, Resources { memory_mib: 500, ..Resources::ZERO }];
@@ -149,53 +154,53 @@
         Clock { now: self.now, wall: self.now }
     }
 
-    /// A new life of the machine at `place`.
+    /// Starts a new incarnation of the worker on machine `place`.
     fn boot(&mut self, place: usize) {
-        self.lives += 1;
+        self.incarnations += 1;
         let address = format!("10.0.0.{place}:80");
         let (before, others) =
             std::mem::take(&mut self.workers).into_iter().partition(|(_, worker)| worker.info.address == address);
         self.workers = others;
         let before: BTreeMap<WorkerId, Runner> = before;
-        before.values().for_each(|worker| self.note_end(worker));
+        before.values().for_each(|worker| self.count_worker_end(worker));
         let capacity = Resources { cpu_milli: 8000, memory_mib: 8000, accelerators: 0 };
-        let born = u64::from(self.lives);
-        let id = if self.births { format!("m{place}@{born}") } else { format!("life-{born}") };
+        let born = u64::from(self.incarnations);
+        let id = if self.stable_names { format!("m{place}@{born}") } else { format!("life-{born}") };
         self.workers.insert(id, Runner::new(address, capacity));
     }
 
-    /// One step of time, with trouble if there is to be any.
-    pub fn step(&mut self, trouble: bool) {
+    /// Simulates one time step, with random faults if `with_faults` is set.
+    pub fn step(&mut self, with_faults: bool) {
         self.now += STEP;
-        if trouble {
-            self.trouble();
+        if with_faults {
+            self.inject_faults();
         } else {
-            self.calm();
+            self.end_faults();
         }
-        self.deliver_late();
+        self.deliver_delayed_starts();
         self.tick_workers();
         self.crash_workers();
         let leader = std::mem::replace(&mut self.leader, Leader::new(Clock::default(), 0, self.config.clone(), &[]));
-        self.leader = self.run(leader, true, trouble).expect("the newest leader stays");
-        if let Some(old) = self.old.take() {
-            let term = old.term;
-            self.old = self.run(old, false, trouble);
-            if self.old.is_none() && term + 1 == self.leader.term {
+        self.leader = self.run(leader, true, with_faults).expect("the newest leader isn't dropped");
+        if let Some(previous_leader) = self.previous_leader.take() {
+            let term = previous_leader.term;
+            self.previous_leader = self.run(previous_leader, false, with_faults);
+            if self.previous_leader.is_none() && term + 1 == self.leader.term {
                 self.leader.engine.predecessor_ended(self.now);
             }
         }
         self.check();
     }
 
-    fn trouble(&mut self) {
+    fn inject_faults(&mut self) {
         if self.rng.random_bool(0.05) {
-            self.submit();
+            self.submit_random_job();
         }
         if self.rng.random_bool(0.004) {
-            self.cancel();
+            self.cancel_random_job();
         }
         if self.rng.random_bool(0.02) {
-            self.withdraw();
+            self.withdraw_random_job();
         }
         if self.rng.random_bool(0.004) {
             self.store_up = !self.store_up;
@@ -204,7 +209,7 @@
             self.take_over();
         }
         if self.rng.random_bool(0.004) {
-            self.cut_or_join();
+            self.toggle_reachability();
         }
         if self.rng.random_bool(0.002) {
             let place = self.rng.random_range(0..4);
@@ -212,8 +217,8 @@
         }
     }
 
-    /// Cuts a worker off, or ends its cut. All may be down at the moment.
-    fn cut_or_join(&mut self) {
+    /// Makes a worker unreachable, or reachable again. All workers may be down at the moment.
+    fn toggle_reachability(&mut self) {
         if self.workers.is_empty() {
             return;
         }
@@ -223,61 +228,61 @@
         }
     }
 
-    fn calm(&mut self) {
+    fn end_faults(&mut self) {
         self.store_up = true;
         self.workers.values_mut().for_each(|worker| worker.reachable = true);
     }
 
-    /// Another host leads from now on; the old leader learns of it later.
+    /// Another host becomes the leader; the previous leader learns of it later.
     fn take_over(&mut self) {
         let clock = self.clock();
         let next = Leader::new(clock, self.leader.term + 1, self.config.clone(), &self.log);
-        self.newest = next.term;
-        self.old = Some(std::mem::replace(&mut self.leader, next));
+        self.newest_term = next.term;
+        self.previous_leader = Some(std::mem::replace(&mut self.leader, next));
     }
 
-    fn run(&mut self, mut leader: Leader, current: bool, trouble: bool) -> Option<Leader> {
+    fn run(&mut self, mut leader: Leader, current: bool, with_faults: bool) -> Option<Leader> {
         let clock = self.clock();
         if current && self.store_up {
             leader.confirmed = self.now;
             self.commit(&mut leader);
-            let shown = self.shown(trouble);
-            leader.engine.update_workers(clock, shown);
+            let visible_list = self.visible_list(with_faults);
+            leader.engine.update_workers(clock, visible_list);
         }
-        if !leader.authorized(self.now) {
+        if !leader.is_authorized(self.now) {
             return current.then_some(leader);
         }
-        if !self.hold_all(&mut leader) || !self.stop_all(&mut leader, trouble) {
+        if !self.renew_all(&mut leader) || !self.stop_all(&mut leader, with_faults) {
             return current.then_some(leader);
         }
         leader.engine.plan(clock);
-        for action in leader.actions() {
+        for action in leader.take_actions() {
             match action {
-                Action::Start(worker, start) => self.order(&mut leader, worker, start, trouble),
+                Action::Start(worker, start) => self.order(&mut leader, worker, start, with_faults),
                 Action::Ask(question) => {
                     let until = self.now + question.validity;
-                    let good = question.workers.iter().filter(|id| self.advisable(id));
+                    let good = question.workers.iter().filter(|id| self.is_allowed(id));
                     let tickets = good.map(|id| (id.clone(), Ticket { text: String::new(), until })).collect();
                     leader.engine.advice_received(question.unit, &question.workers, tickets);
                 }
-                Action::Stop(..) | Action::Forget(_) => unreachable!("kept by the leader"),
+                Action::Stop(..) | Action::Forget(_) => unreachable!("handled by the leader"),
             }
         }
         Some(leader)
     }
 
-    /// Whether the adviser lets a worker run anything. Where workers go down often, it goes by the machine: else most of the last ones
-    /// may be of those that may not.
-    fn advisable(&self, id: &str) -> bool {
-        match self.crashes.is_some() || self.births {
+    /// Whether the advice service allows a worker to run anything. If workers restart often, that depends on the
+    /// machine; otherwise most of the latest incarnations might not be allowed to run anything.
+    fn is_allowed(&self, id: &str) -> bool {
+        match self.crashes.is_some() || self.stable_names {
             false => !id.ends_with('3'),
             true => !self.workers.get(id).is_some_and(|worker| worker.info.address.ends_with("3:80")),
         }
     }
 
-    /// The life that an order for this one reaches, if any: orders name the worker only.
-    fn reached(&self, id: &str) -> Option<WorkerId> {
-        let same = |life: &&WorkerId| WorkerIncarnation::from_id(life).name == WorkerIncarnation::from_id(id).name;
+    /// The incarnation that an order for this one reaches, if any: orders name only the worker.
+    fn receiving_incarnation(&self, id: &str) -> Option<WorkerId> {
+        let same = |other: &&WorkerId| WorkerIncarnation::from_id(other).name == WorkerIncarnation::from_id(id).name;
         self.workers.keys().find(same).cloned()
     }
 
@@ -303,12 +308,12 @@
         self.log.extend(records);
         leader.engine.mark_durable(self.clock(), upto);
         if self.rng.random_bool(0.01) {
-            self.clean(leader);
+            self.compact_log(leader);
         }
     }
 
-    /// Removes the older half of the log, after what is still needed of it was written anew.
-    fn clean(&mut self, leader: &mut Leader) {
+    /// Removes the older half of the log after rewriting what is still needed of it.
+    fn compact_log(&mut self, leader: &mut Leader) {
         let newer = self.log.split_off(self.log.len() / 2);
         for record in std::mem::replace(&mut self.log, newer) {
             if let Some(id) = record.job() {
@@ -321,24 +326,27 @@
         leader.engine.mark_durable(self.clock(), upto);
     }
 
-    /// Renews all leases. Whether no worker knows a newer leader.
-    fn hold_all(&mut self, leader: &mut Leader) -> bool {
+    /// Renews all leases, and returns whether no worker knows a newer leader.
+    fn renew_all(&mut self, leader: &mut Leader) -> bool {
         let clock = self.clock();
         for (id, address) in leader.engine.addresses() {
-            if leader.next_hold.get(&id).is_some_and(|next| *next > self.now) {
+            if leader.next_renewal.get(&id).is_some_and(|next| *next > self.now) {
                 continue;
             }
             let pause = self.rng.random_range(60..400);
-            leader.next_hold.insert(id.clone(), self.now + Duration::from_millis(pause));
-            if self.replaced(&id, &address) {
+            leader.next_renewal.insert(id.clone(), self.now + Duration::from_millis(pause));
+            if self.is_replaced(&id, &address) {
                 leader.engine.worker_replaced(clock, &id, None);
                 continue;
             }
             let lease = leader.leases.entry(id.clone()).or_default();
             let until = lease.expiry(self.now, MAX_LEASE);
             let (mark, acked) = (leader.engine.mark(), leader.engine.acked(&id));
-            let life = self.reached(&id);
-            let reached = life.as_ref().and_then(|life| self.workers.get_mut(life)).filter(|worker| worker.reachable);
+            let incarnation = self.receiving_incarnation(&id);
+            let reached = incarnation
+                .as_ref()
+                .and_then(|incarnation| self.workers.get_mut(incarnation))
+                .filter(|worker| worker.reachable);
             let Some(worker) = reached else {
                 if lease.is_expired(self.now) {
                     leader.engine.leases_expired(clock, &id);
@@ -348,8 +356,9 @@
             if let Some(until) = until {
                 lease.grant(until);
             }
-            let other = life.filter(|life| *life != id);
-            // After the silence of a worker that has started again nothing is acknowledged, and its leases are cut to the longest.
+            let other = incarnation.filter(|incarnation| *incarnation != id);
+            // After the silence of a restarted worker nothing is acknowledged, and its leases are
+            // shortened to the longest that it accepts.
             let (acked, until) = match other.is_some() {
                 true => (0, until.map(|until| until.min(self.now + MAX_LEASE))),
                 false => (acked, until),
@@ -366,11 +375,13 @@
         true
     }
 
-    fn stop_all(&mut self, leader: &mut Leader, trouble: bool) -> bool {
+    fn stop_all(&mut self, leader: &mut Leader, with_faults: bool) -> bool {
         for (id, task, attempt) in std::mem::take(&mut leader.stops) {
-            let life = self.reached(&id);
-            let reached = life.and_then(|life| self.workers.get_mut(&life)).filter(|worker| worker.reachable);
-            let lost = trouble && self.rng.random_bool(0.2);
+            let incarnation = self.receiving_incarnation(&id);
+            let reached = incarnation
+                .and_then(|incarnation| self.workers.get_mut(&incarnation))
+                .filter(|worker| worker.reachable);
+            let lost = with_faults && self.rng.random_bool(0.2);
             match reached.map(|worker| worker.stop(leader.term, task, attempt)) {
                 Some(Reply::Fenced) => return false,
                 Some(_) if !lost => leader.engine.stop_accepted(&id, task, attempt),
@@ -380,12 +391,13 @@
         true
     }
 
-    fn order(&mut self, leader: &mut Leader, id: WorkerId, start: Start, trouble: bool) {
+    fn order(&mut self, leader: &mut Leader, id: WorkerId, start: Start, with_faults: bool) {
         let clock = self.clock();
         let until = leader.leases.get(&id).and_then(|lease| lease.expiry(self.now, MAX_LEASE));
         let (task, attempt) = (start.task, start.attempt);
-        let life = self.reached(&id);
-        let reachable = life.and_then(|life| self.workers.get(&life)).is_some_and(|worker| worker.reachable);
+        let incarnation = self.receiving_incarnation(&id);
+        let reachable =
+            incarnation.and_then(|incarnation| self.workers.get(&incarnation)).is_some_and(|worker| worker.reachable);
         let (Some(until), true) = (until, reachable) else {
             leader.engine.start_answered(clock, &id, task, attempt, OrderOutcome::Refused);
             return;
@@ -393,12 +405,12 @@
         if let Some(lease) = leader.leases.get_mut(&id) {
             lease.grant(until);
         }
-        if trouble && self.rng.random_bool(0.1) {
+        if with_faults && self.rng.random_bool(0.1) {
             let delay = Duration::from_millis(self.rng.random_range(0..12_000));
-            self.late.push(Late {
+            self.delayed_starts.push(DelayedStart {
                 sent: self.now,
                 at: self.now + delay,
-                worker: self.reached(&id).expect("it is reachable"),
+                worker: self.receiving_incarnation(&id).expect("a reachable worker"),
                 term: leader.term,
                 until,
                 start,
@@ -406,41 +418,41 @@
             leader.engine.start_answered(clock, &id, task, attempt, OrderOutcome::Unknown);
             return;
         }
-        let outcome = match self.arrive(self.now, &id, leader.term, until, &start) {
-            Reply::Done if trouble && self.rng.random_bool(0.05) => OrderOutcome::Unknown,
+        let outcome = match self.deliver_start(self.now, &id, leader.term, until, &start) {
+            Reply::Done if with_faults && self.rng.random_bool(0.05) => OrderOutcome::Unknown,
             Reply::Done => OrderOutcome::Started,
             Reply::Fenced | Reply::Refused => OrderOutcome::Refused,
         };
         leader.engine.start_answered(clock, &id, task, attempt, outcome);
     }
 
-    /// A start that was sent at this time reaches its worker.
-    fn arrive(&mut self, sent: Duration, id: &str, term: Term, until: Duration, start: &Start) -> Reply {
-        let job = self.jobs.get(&start.task.unit.job).expect("only jobs that were submitted").clone();
+    /// Delivers a start, sent at time `sent`, to its worker.
+    fn deliver_start(&mut self, sent: Duration, id: &str, term: Term, until: Duration, start: &Start) -> Reply {
+        let job = self.jobs.get(&start.task.unit.job).expect("a submitted job").clone();
         let step = &job.steps[usize::from(start.task.unit.step)];
         let ends = self.now + Duration::from_millis(self.rng.random_range(100..3000));
         let how = if self.rng.random_bool(0.1) { RunOutcome::Failed } else { RunOutcome::Done };
         let run = Run { need: step.need, ends, how };
         let key = (start.task, start.attempt);
-        let Some(life) = self.reached(id) else { return Reply::Refused };
-        let Some(worker) = self.workers.get_mut(&life) else { return Reply::Refused };
+        let Some(incarnation) = self.receiving_incarnation(id) else { return Reply::Refused };
+        let Some(worker) = self.workers.get_mut(&incarnation) else { return Reply::Refused };
         let known = worker.runs.contains_key(&key);
         let reply = worker.start(self.now, term, until, key, run);
         if reply == Reply::Done && !known {
             self.check_start(sent, term, start, &job);
-            self.bring_down(&life, term, start.task);
+            self.schedule_crash(&incarnation, term, start.task);
         }
         reply
     }
 
-    fn deliver_late(&mut self) {
-        let (due, later) = std::mem::take(&mut self.late).into_iter().partition(|late| late.at <= self.now);
-        self.late = later;
-        let due: Vec<Late> = due;
+    fn deliver_delayed_starts(&mut self) {
+        let (due, later) = std::mem::take(&mut self.delayed_starts).into_iter().partition(|late| late.at <= self.now);
+        self.delayed_starts = later;
+        let due: Vec<DelayedStart> = due;
         for late in due {
-            // A life that is over has taken along what it had left unanswered.
+            // An incarnation that has ended takes its unanswered orders with it.
             if self.workers.contains_key(&late.worker) {
-                self.arrive(late.sent, &late.worker, late.term, late.until, &late.start);
+                self.deliver_start(late.sent, &late.worker, late.term, late.until, &late.start);
             }
         }
     }
