--- a/components/sched/examples/backlog.rs
+++ b/components/sched/examples/backlog.rs
@@ -55,9 +55,9 @@
     for _ in 0..PASSES {
         pass(&mut engine, &mut clock);
     }
-    let began = Instant::now();
+    let started_at = Instant::now();
     let spent: Duration = (0..PASSES).map(|_| pass(&mut engine, &mut clock)).sum();
-    assert!(began.elapsed() >= spent);
+    assert!(started_at.elapsed() >= spent);
     spent / PASSES
 }
 
@@ -89,9 +89,9 @@
 
 /// Runs a planning pass, answers its questions, and returns the time of the planning alone.
 fn pass(engine: &mut Engine, clock: &mut Clock) -> Duration {
-    let began = Instant::now();
+    let started_at = Instant::now();
     engine.plan(*clock);
-    let spent = began.elapsed();
+    let spent = started_at.elapsed();
     answer(engine, *clock);
     clock.now += TICK;
     spent
--- a/components/sched/examples/flow.rs
+++ b/components/sched/examples/flow.rs
@@ -74,9 +74,9 @@
 
 /// Calls `work` and adds its duration to `sum`.
 fn timed<T>(sum: &mut Duration, work: impl FnOnce() -> T) -> T {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let done = work();
-    *sum += began.elapsed();
+    *sum += started_at.elapsed();
     done
 }
 
@@ -97,11 +97,11 @@
     /// Runs the load, and returns the CPU time that it took.
     fn run_load(mut self) -> CpuTime {
         self.cpu_time = CpuTime::default();
-        let begun = self.clock.now;
+        let start_time = self.clock.now;
         let mut jobs: JobId = 0;
-        let mut listed = begun;
-        while self.clock.now < begun + Duration::from_secs(SECONDS) {
-            let due = (self.clock.now - begun).as_millis() as u64 * JOBS_PER_SECOND / 1000;
+        let mut listed = start_time;
+        while self.clock.now < start_time + Duration::from_secs(SECONDS) {
+            let due = (self.clock.now - start_time).as_millis() as u64 * JOBS_PER_SECOND / 1000;
             (jobs + 1..=due).for_each(|id| self.accept(id));
             jobs = due;
             if self.clock.now - listed > LIST_INTERVAL {
--- a/components/sched/tests/decisions/assemble.rs
+++ b/components/sched/tests/decisions/assemble.rs
@@ -143,13 +143,13 @@
         let patient = Step { checkpoints: true, estimate: PATIENT_RUN_TIME, ..step(25, 2) };
         let gang = Step { gang: true, estimate: GANG_RUN_TIME, ..step(10, 5) };
         let (mut patients, mut gangs) = (0, FIRST_GANG);
-        let full = PATIENT_RUN_TIME;
+        let full_at = PATIENT_RUN_TIME;
         while self.cell.now < time {
             if self.cell.now >= PATIENT_INTERVAL * patients as u32 {
                 patients += 1;
                 self.submit(patients, "patient", patient.clone());
             }
-            if self.cell.now >= full + GANG_INTERVAL * (gangs - FIRST_GANG) as u32 {
+            if self.cell.now >= full_at + GANG_INTERVAL * (gangs - FIRST_GANG) as u32 {
                 gangs += 1;
                 self.submit(gangs, "advised", gang.clone());
             }
@@ -157,8 +157,8 @@
         }
         let wait = |id: &JobId| self.waits.get(id).copied().unwrap_or(Duration::MAX);
         let late = time - Duration::from_secs(3);
-        let came = self.submitted.iter().filter(|(_, at)| **at > full && **at < late).map(|(id, _)| *id);
-        let (gangs, patients): (Vec<JobId>, Vec<JobId>) = came.partition(|id| *id > FIRST_GANG);
+        let measured = self.submitted.iter().filter(|(_, at)| **at > full_at && **at < late).map(|(id, _)| *id);
+        let (gangs, patients): (Vec<JobId>, Vec<JobId>) = measured.partition(|id| *id > FIRST_GANG);
         let sorted = |ids: Vec<JobId>| {
             let mut waits: Vec<Duration> = ids.iter().map(wait).collect();
             waits.sort();
@@ -174,10 +174,10 @@
     let (gangs, patients) = simulation.run_load(Duration::from_secs(25));
     assert!(gangs.len() >= 15 && patients.len() >= 100, "{} and {}", gangs.len(), patients.len());
     // The objective leaves a gang 5 s, and a patient job 4.4 s.
-    let most = *gangs.last().expect("some");
-    assert!(most <= Duration::from_secs(3), "gangs wait {gangs:?} with {} stops", simulation.stops);
-    let slow = patients[patients.len() * 95 / 100];
-    assert!(slow <= Duration::from_millis(1500), "95 of 100 patient jobs wait {slow:?}");
+    let longest_wait = *gangs.last().expect("some");
+    assert!(longest_wait <= Duration::from_secs(3), "gangs wait {gangs:?} with {} stops", simulation.stops);
+    let percentile_95 = patients[patients.len() * 95 / 100];
+    assert!(percentile_95 <= Duration::from_millis(1500), "95 of 100 patient jobs wait {percentile_95:?}");
 }
 
 #[test]
--- a/components/sched/tests/decisions/crash.rs
+++ b/components/sched/tests/decisions/crash.rs
@@ -159,13 +159,13 @@
     let left: Vec<String> = cell.infos.keys().filter(|id| !id.ends_with("again")).cloned().collect();
     left.iter().for_each(|id| cell.report(id, &[], &[]));
     cell.submit(2, "urgent", vec![step(1, 1)]);
-    let (beside, _) = confirmed_start_of(&mut cell, 2).expect("a start");
+    let (busy_worker, _) = confirmed_start_of(&mut cell, 2).expect("a start");
     cell.engine.update_workers(cell.clock(), cell.infos.clone());
     cell.engine.worker_replaced(cell.clock(), &worker, None);
     cell.write();
     cell.report(&format!("{worker}-again"), &[], &[]);
     let (trial_worker, start) = confirmed_start_of(&mut cell, 1).expect("a further start");
-    assert_ne!(trial_worker, beside);
+    assert_ne!(trial_worker, busy_worker);
     cell.submit(3, "urgent", vec![step(20, 1)]);
     assert!(cell.starts().iter().all(|(worker, _)| *worker != trial_worker), "the suspect is still being tried");
     cell.now += Duration::from_millis(400);
--- a/components/sched/tests/decisions/end_numbers.rs
+++ b/components/sched/tests/decisions/end_numbers.rs
@@ -75,8 +75,8 @@
     cell.end_numbers.clear();
     let second = Step { after: vec![0], ..step(20, 1) };
     cell.submit(MANY_ENDS, "patient", vec![step(1, 1), second]);
-    let begun = cell.now;
-    while cell.now < begun + MAX_STEP_WAIT {
+    let started_at = cell.now;
+    while cell.now < started_at + MAX_STEP_WAIT {
         let starts = cell.starts();
         if starts.iter().any(|(_, start)| start.task.unit.step == 1) {
             return;
--- a/components/sched/tests/decisions/incarnations.rs
+++ b/components/sched/tests/decisions/incarnations.rs
@@ -17,8 +17,8 @@
 /// incarnation.
 fn restarted_after_an_unanswered_start() -> (Cell, Start) {
     let mut cell = Cell::new(2);
-    let lives = cell.infos.clone().into_iter().map(|(name, info)| (format!("{name}@1000"), info));
-    cell.infos = lives.collect();
+    let incarnations = cell.infos.clone().into_iter().map(|(name, info)| (format!("{name}@1000"), info));
+    cell.infos = incarnations.collect();
     let mut cell = cell.ready();
     cell.submit(1, "urgent", vec![step(1, 1)]);
     let (worker, start) = cell.starts().remove(0);
@@ -152,7 +152,7 @@
     }
 }
 
-/// The platform, or the previous version of this program, gave no birth.
+/// The platform, or the previous version of this program, reported no birth.
 #[test]
 fn a_run_on_a_worker_whose_birth_becomes_known_continues() {
     let mut before = Cell::new(1).ready();
--- a/components/sched/tests/decisions/main.rs
+++ b/components/sched/tests/decisions/main.rs
@@ -384,7 +384,7 @@
     cell.engine.accept(cell.clock(), 1, Owner::public("urgent"), largest);
     cell.write();
     let first = cell.starts().len();
-    assert!((1..=16).contains(&first), "rounds that are due at the same time are opened a few at a time: {first}");
+    assert!((1..=16).contains(&first), "rounds that are due at the same time start a few at a time: {first}");
 }
 
 #[test]
--- a/components/sched/tests/decisions/quota.rs
+++ b/components/sched/tests/decisions/quota.rs
@@ -239,9 +239,9 @@
     let mut excess = |steps| cell.engine.excess("small", &job(steps)).map(|excess| excess.to_string());
     assert_eq!(excess(vec![step(100, 8)]), None, "its tasks run in turns");
     assert_eq!(excess(vec![gang(4, 2)]), None);
-    let whole = excess(vec![step(1, 1), gang(5, 2)]);
+    let oversized_gang = excess(vec![step(1, 1), gang(5, 2)]);
     assert_eq!(
-        whole.as_deref(),
+        oversized_gang.as_deref(),
         Some("step 1 needs 10 cores, 500 MiB at once, the workspace's limit is 8 cores, 0 MiB")
     );
     assert!(excess(vec![step(1, 9)]).is_some());
--- a/components/sched/tests/world/crashes.rs
+++ b/components/sched/tests/world/crashes.rs
@@ -128,8 +128,8 @@
     /// Whether a worker of another name answers at a worker's address.
     pub(super) fn is_replaced(&self, id: &str, address: &str) -> bool {
         let detectable = self.crashes.is_some() || self.list_faults.is_some();
-        let gone = detectable && !self.stable_names && !self.workers.contains_key(id);
-        gone && self.workers.values().any(|worker| worker.reachable && worker.info.address == address)
+        let has_ended = detectable && !self.stable_names && !self.workers.contains_key(id);
+        has_ended && self.workers.values().any(|worker| worker.reachable && worker.info.address == address)
     }
 
     /// Number of tasks that crashed workers.
--- a/components/sched/tests/world/mod.rs
+++ b/components/sched/tests/world/mod.rs
@@ -261,8 +261,8 @@
                 Action::Start(worker, start) => self.order(&mut leader, worker, start, with_faults),
                 Action::Ask(question) => {
                     let until = self.now + question.validity;
-                    let good = question.workers.iter().filter(|id| self.is_allowed(id));
-                    let tickets = good.map(|id| (id.clone(), Ticket { text: String::new(), until })).collect();
+                    let allowed = question.workers.iter().filter(|id| self.is_allowed(id));
+                    let tickets = allowed.map(|id| (id.clone(), Ticket { text: String::new(), until })).collect();
                     leader.engine.advice_received(question.unit, &question.workers, tickets);
                 }
                 Action::Stop(..) | Action::Forget(_) => unreachable!("handled by the leader"),
