--- a/components/node/src/membership.rs
+++ b/components/node/src/membership.rs
@@ -176,8 +176,8 @@
     }
 
     /// The addresses that the next digest is sent to: all neighbours and a few hosts of each other data centre. So
-    /// that hosts find each other, also after a network failure, the digest is sent to the seeds, to hosts that peers have
-    /// listed and to one dead host as well.
+    /// that hosts find each other, also after a network failure, the digest is sent to the seeds, to hosts that peers
+    /// have listed and to one dead host as well.
     fn targets(&self, seeds: &[SocketAddr], now: Instant) -> Vec<SocketAddr> {
         let Hosts { table, named, .. } = &*self.state.lock();
         let mut remote: HashMap<&DataCentreId, Vec<SocketAddr>> = HashMap::new();
