--- a/components/entry/src/leadership/loops.rs
+++ b/components/entry/src/leadership/loops.rs
@@ -104,8 +104,8 @@
             "worker" => &ended.worker, "learnt" => ended.reason.name(), "silent_ms" => ended.silent.as_millis() as u64,
             "draining" => ended.draining, "age_ms" => lost.age.as_millis() as u64, "shown" => lost.seen_running,
             "confirmed" => lost.confirmed, "runs" => ended.runs.len(), "new" => new,
-            "evidence" => lost.evidence.map_or("none", Evidence::name), "ends" => lost.ends, "given_up" => lost.given_up,
-            "term" => leadership.term);
+            "evidence" => lost.evidence.map_or("none", Evidence::name), "ends" => lost.ends,
+            "given_up" => lost.given_up, "term" => leadership.term);
         metrics.tasks_given_up.inc_by(u64::from(lost.given_up));
     }
 }
@@ -114,7 +114,8 @@
 fn report_stall(leadership: &Leadership, stall: &Stall) {
     emit!(leadership.host.log, events::JOB_STALLED, "unit" => stall.unit.to_string(),
         "lasted_ms" => stall.lasted.as_millis() as u64, "waiting" => stall.waiting,
-        "unlisted" => stall.unlisted, "runs" => stall.run_names.join(", "), "why" => &stall.why, "term" => leadership.term);
+        "unlisted" => stall.unlisted, "runs" => stall.run_names.join(", "), "why" => &stall.why,
+        "term" => leadership.term);
 }
 
 /// Updates the metrics of the leadership.
--- a/components/entry/src/message.rs
+++ b/components/entry/src/message.rs
@@ -84,7 +84,7 @@
     Workspaces,
     /// Counts the waiting jobs of a queue, over all workspaces.
     Waiting { caller: Caller, queue: QueueName },
-    /// The leader asks a follower to query the adviser.
+    /// The leader asks a follower to query the advice service.
     Advise {
         unit: Unit,
         /// Candidate workers.
@@ -130,6 +130,6 @@
     Workspaces(Vec<Workspace>),
     /// Number of waiting jobs.
     Waiting(usize),
-    /// Workers that may run a step, with their tickets; `None` if the adviser didn't answer.
+    /// Workers that may run a step, with their tickets; `None` if the advice service didn't answer.
     Advice(Option<Vec<(WorkerId, String)>>),
 }
--- a/components/node/src/show.rs
+++ b/components/node/src/show.rs
@@ -1,4 +1,4 @@
-//! The tables that operators are shown.
+//! Builds the tables that answer operators' queries.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,15 +13,15 @@
 
 use crate::shared::Shared;
 
-/// Shows a table with the rows of all hosts that can be reached.
-pub(crate) async fn everywhere(shared: &Arc<Shared>, statement: &Statement, text: &str) -> Result<Table, String> {
+/// Answers a query with the rows of all reachable hosts.
+pub(crate) async fn show_all_hosts(shared: &Arc<Shared>, statement: &Statement, text: &str) -> Result<Table, String> {
     let mut table = table(shared, statement)?;
-    if !spans_hosts(statement) {
+    if !needs_all_hosts(statement) {
         return finish(shared, table, statement);
     }
     let request = Request::Show { statement: text.to_owned() };
-    let others = shared.membership.reachable();
-    let calls = others.iter().map(|member| shared.links.call(member.peer.peers, &request));
+    let peers = shared.membership.reachable();
+    let calls = peers.iter().map(|member| shared.peer_client.call(member.peer.peers, &request));
     for answer in join_all(calls).await {
         if let Ok(Answer::Rows(rows)) = answer {
             table.rows.extend(rows);
@@ -34,16 +34,16 @@
     finish(shared, table, statement)
 }
 
-fn spans_hosts(statement: &Statement) -> bool {
+fn needs_all_hosts(statement: &Statement) -> bool {
     match statement {
         Statement::Show { topic, .. } => matches!(topic, Topic::Tasks | Topic::Workers | Topic::Requests),
         _ => true,
     }
 }
 
-/// The rows of this host alone, for a peer that asked.
-pub(crate) fn local(shared: &Shared, text: &str) -> Result<Vec<Vec<String>>, String> {
-    let statement = query::parse_one(text).map_err(|fault| fault.to_string())?;
+/// The rows of this host only, for the query of a peer.
+pub(crate) fn local_rows(shared: &Shared, text: &str) -> Result<Vec<Vec<String>>, String> {
+    let statement = query::parse_one(text).map_err(|error| error.to_string())?;
     Ok(table(shared, &statement)?.rows)
 }
 
@@ -61,39 +61,39 @@
             };
             query::filter(table, conditions, *limit)
         }
-        Statement::Why { subject } => Ok(why(shared, subject)),
-        _ => Err("not a question".to_owned()),
+        Statement::Why { subject } => Ok(explain(shared, subject)),
+        _ => Err("not a query".to_owned()),
     }
 }
 
-/// What is done once all rows are together.
+/// Applies the steps that need the rows of all hosts.
 fn finish(shared: &Shared, mut table: Table, statement: &Statement) -> Result<Table, String> {
     match statement {
         Statement::Show { limit: Some(limit), .. } => {
             table.rows.truncate(usize::try_from(*limit).unwrap_or(usize::MAX));
         }
         Statement::Why { subject } if table.rows.is_empty() => {
-            table.rows.push(unanswered(shared, subject)?);
+            table.rows.push(explain_unowned(shared, subject)?);
         }
         _ => {}
     }
     Ok(table)
 }
 
-/// For what no host that could be reached answers for.
-fn unanswered(shared: &Shared, subject: &Subject) -> Result<Vec<String>, String> {
+/// Answers a `why` query for which no reachable host has returned a row.
+fn explain_unowned(shared: &Shared, subject: &Subject) -> Result<Vec<String>, String> {
     let (name, workload) = match subject {
         Subject::Workload(name) => (name.clone(), name.clone()),
         Subject::Task(name) => {
             let task: model::task::Name =
-                name.parse().map_err(|fault: model::task::ParseNameError| fault.to_string())?;
+                name.parse().map_err(|error: model::task::ParseNameError| error.to_string())?;
             (name.clone(), task.workload)
         }
         Subject::Worker(name) => {
             let listed =
                 shared.listing.get(name).ok_or_else(|| format!("no worker `{name}` in the platform's list"))?;
-            let why = format!("listed in {}, but held by no entry host that can be reached", listed.data_centre);
-            return Ok(vec![name.clone(), why, String::new()]);
+            let reason = format!("listed in {}, but not held by any reachable entry host", listed.data_centre);
+            return Ok(vec![name.clone(), reason, String::new()]);
         }
         Subject::Team(name) => (name.clone(), String::new()),
     };
@@ -109,7 +109,7 @@
     let now = Instant::now();
     for number in shared.partitions.numbers() {
         shared.partitions.with(number, |owned| {
-            for job in owned.book.jobs().values() {
+            for job in owned.tracker.jobs().values() {
                 let workload = job.workload();
                 for (index, task) in &job.tasks {
                     let waits = matches!(task.phase, Phase::Waiting | Phase::Unknown);
@@ -162,7 +162,7 @@
         "free_memory",
         "cores",
     ]);
-    for (worker, held) in shared.holds.all() {
+    for (worker, held) in shared.held_workers.all() {
         let fact = held.ledger.lock().worker_fact(Instant::now());
         let rack = shared.listing.get(&worker).map(|listed| listed.rack).unwrap_or_default();
         let state = match (&fact.reachable, &fact.leaving, &fact.probation) {
@@ -239,17 +239,17 @@
 fn hosts(shared: &Shared) -> Table {
     let mut table = Table::new(&["host", "data_centre", "state", "peers", "revision", "seen_from"]);
     let own = &shared.own;
-    let mut add = |host: &str, data_centre: &str, state: String, peers: String, revision: u64| {
+    let mut add_row = |host: &str, data_centre: &str, state: String, peers: String, revision: u64| {
         let row = [host, data_centre, &state, &peers, &revision.to_string(), &own.host];
         table.rows.push(row.map(str::to_owned).to_vec());
     };
     let presence = format!("{:?}", shared.membership.presence()).to_lowercase();
-    add(&own.host, &own.data_centre, presence, own.peers.to_string(), shared.configuration.revision());
+    add_row(&own.host, &own.data_centre, presence, own.peers.to_string(), shared.configuration.revision());
     for member in shared.membership.all() {
         let state = shared.membership.state(&member.peer.host).unwrap_or(HostState::Dead);
         let state = format!("{state:?}").to_lowercase();
         let peer = &member.peer;
-        add(&peer.host, &peer.data_centre, state, peer.peers.to_string(), member.configuration);
+        add_row(&peer.host, &peer.data_centre, state, peer.peers.to_string(), member.configuration);
     }
     table.rows.sort();
     table
@@ -280,24 +280,24 @@
     table
 }
 
-fn why(shared: &Shared, subject: &Subject) -> Table {
+fn explain(shared: &Shared, subject: &Subject) -> Table {
     let mut table = Table::new(&["what", "why", "what would change it"]);
     let now = Instant::now();
     if let Subject::Worker(name) = subject {
-        table.rows.extend(why_worker(shared, name));
+        table.rows.extend(explain_worker(shared, name));
         return table;
     }
     for number in shared.partitions.numbers() {
         shared.partitions.with(number, |owned| {
-            for job in owned.book.jobs().values() {
+            for job in owned.tracker.jobs().values() {
                 for index in job.tasks.keys() {
                     let id = job.id(*index);
-                    let asked = match subject {
+                    let matches_subject = match subject {
                         Subject::Task(name) => id.to_string() == *name,
                         Subject::Workload(name) => id.workload == *name,
                         _ => false,
                     };
-                    if asked {
+                    if matches_subject {
                         let reason = job.reason(*index, now);
                         table.rows.push(vec![id.to_string(), reason.to_string(), reason.remedy().to_owned()]);
                     }
@@ -308,30 +308,30 @@
     table
 }
 
-fn why_worker(shared: &Shared, name: &str) -> Option<Vec<String>> {
-    let held = shared.holds.get(name)?;
+fn explain_worker(shared: &Shared, name: &str) -> Option<Vec<String>> {
+    let held = shared.held_workers.get(name)?;
     let fact = held.ledger.lock().worker_fact(Instant::now());
-    let (why, remedy) = if fact.lapsed {
+    let (reason, remedy) = if fact.lapsed {
         (
-            "does not answer; its leases have lapsed, so its tasks have ended",
-            "bring it back, or have the host list drop it",
+            "does not answer; its leases have expired, so its tasks have ended",
+            "bring it back, or remove it from the platform's host list",
         )
     } else if !fact.reachable {
         (
-            "does not answer; its tasks may still run until their leases lapse",
-            "bring it back, or have the host list drop it",
+            "does not answer; its tasks may still run until their leases expire",
+            "bring it back, or remove it from the platform's host list",
         )
     } else if fact.leaving {
-        ("is on its way out and gets nothing new", "restore it, or wait until it is empty")
+        ("is leaving and gets no new tasks", "restore it, or wait until it is empty")
     } else if fact.probation {
         (
             "failed tasks of several workloads and gets one trial task at a time",
-            "mend it; a trial that succeeds ends this",
+            "repair it; one successful trial task ends the probation",
         )
     } else if !fact.open {
-        ("takes nothing new now", "")
+        ("accepts no new tasks now", "")
     } else {
-        ("is live and takes new tasks", "")
+        ("is live and accepts new tasks", "")
     };
-    Some(vec![name.to_owned(), why.to_owned(), remedy.to_owned()])
+    Some(vec![name.to_owned(), reason.to_owned(), remedy.to_owned()])
 }
--- a/components/sched/src/advice.rs
+++ b/components/sched/src/advice.rs
@@ -1,4 +1,4 @@
-//! The adviser's answers: which workers may run a unit. What to ask next is in [`crate::questions`].
+//! The advice service's answers: which workers may run a unit. What to ask next is in [`crate::questions`].
 //!
 //! The set of workers that may run a unit never changes; only tickets expire.
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// What the adviser said about the workers for a unit.
+/// What the advice service said about the workers for a unit.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct UnitAdvice {
     /// Workers that were named in answered questions.
@@ -49,14 +49,14 @@
 
 impl Shares {
     pub(crate) fn get(&self, queue: &str) -> f64 {
-        let (named, good) = self.0.get(queue).copied().unwrap_or_default();
-        (PRIOR_SHARE * PRIOR_WEIGHT + good) / (PRIOR_WEIGHT + named)
+        let (named, allowed) = self.0.get(queue).copied().unwrap_or_default();
+        (PRIOR_SHARE * PRIOR_WEIGHT + allowed) / (PRIOR_WEIGHT + named)
     }
 
-    fn add(&mut self, queue: &str, named: usize, good: usize) {
+    fn add(&mut self, queue: &str, named: usize, allowed: usize) {
         let sums = self.0.entry(queue.to_owned()).or_default();
         sums.0 += named as f64;
-        sums.1 += good as f64;
+        sums.1 += allowed as f64;
     }
 }
 
@@ -86,7 +86,7 @@
 }
 
 impl Engine {
-    /// Processes the adviser's answer: the workers among `asked` that may run the unit.
+    /// Processes the advice service's answer: the workers among `asked` that may run the unit.
     pub fn advice_received(&mut self, unit: Unit, asked: &[WorkerId], healthy: Vec<(WorkerId, Ticket)>) {
         self.count_shares(unit, asked, &healthy);
         let Some(state) = self.unit_mut(unit) else { return };
@@ -109,9 +109,9 @@
         let Some(state) = entry.units.get(&(unit.round, unit.step)) else { return };
         let new = |worker: &&WorkerId| !state.advice.asked.contains(*worker);
         let named = asked.iter().filter(new).count();
-        let good = healthy.iter().map(|(worker, _)| worker).filter(new).count();
+        let allowed = healthy.iter().map(|(worker, _)| worker).filter(new).count();
         let queue = entry.queue.clone();
-        self.shares.add(&queue, named, good);
+        self.shares.add(&queue, named, allowed);
     }
 
     pub(crate) fn drop_ticket(&mut self, unit: Unit, worker: &str) {
--- a/components/sched/src/place.rs
+++ b/components/sched/src/place.rs
@@ -18,7 +18,7 @@
 /// Interval after which further questions for a unit are considered: about as often as room changes.
 const ASK_INTERVAL: Duration = Duration::from_millis(50);
 /// Number of waiting units up to which every pass tries all of them.
-const MAX_UNITS_PER_PASS: usize = 16;
+const DEFERRAL_THRESHOLD: usize = 16;
 /// When more units wait, one that found no place is tried again after this interval, unless it learns of new workers.
 /// Checking all workers for all units in every pass would take too much of the leader's CPU time.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
@@ -28,7 +28,8 @@
 const MAX_OPEN_UNITS: usize = 256;
 
 impl Engine {
-    /// Runs one scheduling pass: starts tasks, asks the adviser, and stops the remaining members of broken gangs.
+    /// Runs one scheduling pass: starts tasks, asks the advice service, and stops the remaining members of broken
+    /// gangs.
     pub fn plan(&mut self, clock: Clock) {
         if std::mem::take(&mut self.reconfigured) {
             self.fail_exhausted(clock);
@@ -47,7 +48,7 @@
         if self.has_spare_processor() {
             room.count_cores();
         }
-        let many = candidates.len() > MAX_UNITS_PER_PASS;
+        let many = candidates.len() > DEFERRAL_THRESHOLD;
         for candidate in candidates {
             if many && self.is_deferred(clock, candidate.unit) {
                 continue;
@@ -61,19 +62,19 @@
         if self.settled {
             return self.drop_unseen(clock);
         }
-        let waits = self.predecessor_active + self.limits.lease_lapse_time();
-        self.settled = clock.now.saturating_sub(self.term_start) > waits;
+        let lapse_time = self.predecessor_active + self.limits.lease_lapse_time();
+        self.settled = clock.now.saturating_sub(self.term_start) > lapse_time;
     }
 
     /// Ends workers that have never answered in this term, aren't listed any more, and whose leases have expired:
     /// leases of earlier terms have expired by now.
     fn drop_unseen(&mut self, clock: Clock) {
         let longest = self.limits.max_lease_lapse_time();
-        let over = |worker: &Worker| {
+        let lapsed = |worker: &Worker| {
             !worker.follows_earlier_incarnation || clock.now.saturating_sub(worker.last_heard) > longest
         };
         let unseen =
-            |worker: &Worker| worker.contact == Contact::Unknown && worker.unlisted_since.is_some() && over(worker);
+            |worker: &Worker| worker.contact == Contact::Unknown && worker.unlisted_since.is_some() && lapsed(worker);
         let ids: Vec<WorkerId> =
             self.workers.iter().filter(|(_, worker)| unseen(worker)).map(|(id, _)| id.clone()).collect();
         ids.iter().for_each(|id| self.end_worker(clock, id, WorkerEndReason::Unseen));
@@ -129,8 +130,8 @@
         self.unit(unit).is_some_and(|state| clock.now < state.retry_at && state.claims.is_empty())
     }
 
-    /// Starts the tasks of a unit that can be started, asks the adviser for the others, and preempts less urgent
-    /// runs.
+    /// Starts the tasks of a unit that can be started, asks the advice service for the others, and preempts less
+    /// urgent runs.
     fn schedule_unit(&mut self, clock: Clock, candidate: &Candidate, room: &mut Room) {
         let unit = candidate.unit;
         if let Some(state) = self.unit_mut(unit) {
@@ -155,7 +156,7 @@
         }
         // A job that isn't durable yet is placed anyway: its starts are sent after its own record is written.
         let is_durable = entry.accepted.position <= self.durable;
-        // Nor does it keep asking the adviser meanwhile, since the tickets would expire.
+        // Nor does it keep asking the advice service meanwhile, since the tickets would expire.
         let left = self.headroom_limit(clock, unit, step, &queue, room);
         if left == 0 {
             return self.defer(clock, unit);
@@ -202,7 +203,7 @@
         }
     }
 
-    /// Skips a unit that found no place for [`RETRY_INTERVAL`].
+    /// Defers a unit that found no place by [`RETRY_INTERVAL`].
     fn defer(&mut self, clock: Clock, unit: Unit) {
         if let Some(state) = self.unit_mut(unit) {
             state.retry_at = clock.now + RETRY_INTERVAL;
@@ -218,7 +219,7 @@
         room.claim(&state.claims, &need);
     }
 
-    /// Asks the next questions for a unit with pending tasks whose queue has an adviser.
+    /// Asks the next questions for a unit with pending tasks whose queue uses the advice service.
     fn ask(&mut self, clock: Clock, unit: Unit, queue: &Queue, room: &Room) {
         let Some(advice) = queue.advice else { return };
         let Some(state) = self.unit(unit) else { return };
