--- a/components/entry/src/leadership/advice.rs
+++ b/components/entry/src/leadership/advice.rs
@@ -1,4 +1,5 @@
-//! Distributes questions to the adviser over all hosts, since it handles one question per calling host at a time.
+//! Distributes questions to the advice service over all hosts, since it handles one question per calling host at
+//! a time.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -52,7 +53,7 @@
     }
 }
 
-/// A host that can query the adviser.
+/// A host that can query the advice service.
 #[derive(Clone)]
 enum Asker {
     Own(String),
--- a/components/entry/src/leadership/orders.rs
+++ b/components/entry/src/leadership/orders.rs
@@ -1,4 +1,4 @@
-//! Carries out the scheduler's actions: starts, stops and questions to the adviser.
+//! Carries out the scheduler's actions: starts, stops and questions to the advice service.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/components/entry/src/lib.rs
+++ b/components/entry/src/lib.rs
@@ -1,7 +1,7 @@
 //! Entry hosts: they accept callers' jobs over links and either lead the cell or forward calls to the leader.
 //!
 //! Every host runs the same program. One of them is the leader: it schedules, sends orders to workers and writes the
-//! replicated log. The other hosts forward calls to the leader and query the adviser on its behalf.
+//! log to the store. The other hosts forward calls to the leader and query the advice service on its behalf.
 
 mod access;
 mod config;
--- a/components/entry/src/services.rs
+++ b/components/entry/src/services.rs
@@ -1,4 +1,5 @@
-//! Interfaces to the services that an entry host depends on: the store, the directory, the workers and the adviser.
+//! Interfaces to the services that an entry host depends on: the store, the directory, the workers and the
+//! advice service.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
