--- /dev/null
+++ b/components/entry/src/config.rs
@@ -0,0 +1,153 @@
+//! Keeps the configuration up to date: from the store, and through the leader where the store refuses this host or
+//! the leader.
+
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use events::emit;
+use work::Queue;
+use work::key::{Credential, Denial};
+
+use crate::access::{self, Client, Refusal};
+use crate::heartbeat;
+use crate::host::{Host, Link, Role};
+use crate::message::{Answer, Call};
+use crate::outage::Outage;
+use crate::services::WatchResult;
+
+/// Watches are renewed after this time: only the response to a watch shows that nothing has changed.
+pub(crate) const WATCH_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Watch timeout of the leader, which informs all other hosts.
+const LEADER_WATCH_TIMEOUT: Duration = Duration::from_millis(500);
+/// Delay after a failed read.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// How long a host may take to answer while a configuration is transferred; long enough for a large one over a slow
+/// link.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(800);
+/// A call with an unknown key or path is only refused if the configuration was known to be the newest this recently.
+/// Watches are renewed every 1.5 s, and changes by operators must be in force after 2 s.
+const MAX_CONFIG_AGE: Duration = Duration::from_millis(1800);
+/// How long such a call waits for a confirmation; the store answers watches, and the leader sends heartbeats, more
+/// often than that.
+const MAX_CONFIG_WAIT: Duration = Duration::from_millis(700);
+
+/// Result of checking a call on the host where it arrived.
+#[derive(Clone, Debug)]
+pub enum Admission {
+    /// The call is admitted.
+    Granted(Box<Queue>, Client),
+    /// The call is refused, according to a recent configuration.
+    Refused(Refusal),
+    /// This host can't decide, since its configuration may be outdated.
+    Unsure,
+}
+
+/// Reads the configuration whenever it may have changed.
+pub(crate) async fn run(host: Arc<Host>) {
+    let mut outage = Outage::new("configuration");
+    loop {
+        let sent = host.started.elapsed();
+        let (config, mut revision) = match host.services.directory.config().await {
+            Ok(found) => found,
+            Err(error) => {
+                outage.failed(&host.log, &error);
+                tokio::time::sleep(RETRY_DELAY).await;
+                continue;
+            }
+        };
+        outage.succeeded(&host.log);
+        if let Some(config) = config {
+            host.update_config(config, "store");
+        }
+        host.confirm_config(sent);
+        while let Some(seen) = wait_for_change(&host, revision).await {
+            revision = seen;
+        }
+    }
+}
+
+/// Waits for a change. Returns the revision to continue from if nothing has changed, `None` if the configuration must
+/// be read.
+async fn wait_for_change(host: &Host, revision: u64) -> Option<u64> {
+    if heartbeat::wait_for_newer_config(host).await {
+        return None;
+    }
+    let leads = matches!(host.role(), Role::Leading(_));
+    let wait = if leads { LEADER_WATCH_TIMEOUT } else { WATCH_TIMEOUT };
+    match host.services.directory.watch_config(revision, wait).await {
+        Ok(WatchResult::Unchanged(seen)) => {
+            host.confirm_config(host.started.elapsed());
+            Some(seen)
+        }
+        Ok(WatchResult::Changed) => {
+            // The leader doesn't delay: it informs the other hosts and authorizes calls.
+            if !leads {
+                tokio::time::sleep(host.heartbeats.config_read_delay()).await;
+            }
+            None
+        }
+        Err(_) => {
+            tokio::time::sleep(RETRY_DELAY).await;
+            None
+        }
+    }
+}
+
+/// Compares this host's configuration with the leader's, as announced in its heartbeat. Transfers the newer one only if
+/// they already differed at the previous heartbeat (`differed_before`): until then, a host that is behind may be about
+/// to read it from the store.
+pub(crate) async fn exchange_config(
+    host: &Host,
+    link: &Link,
+    version: u64,
+    age: Duration,
+    sent: Duration,
+    differed_before: bool,
+) {
+    let own = host.config().version;
+    if version <= own {
+        host.confirm_config(sent.saturating_sub(age));
+    }
+    if version == own || !differed_before {
+        return;
+    }
+    let call = if version > own { Call::FetchConfig } else { Call::Config((*host.config()).clone()) };
+    match link.call(call, EXCHANGE_TIMEOUT).await {
+        Ok(Answer::Config(config)) => {
+            host.update_config(config, "host");
+        }
+        Ok(_) => {}
+        Err(error) => emit!(host.log, events::CONFIG_NOT_PASSED, "own" => own, "leader" => version,
+            "fault" => error.to_string()),
+    }
+}
+
+/// Determines the queue and the workspace of an incoming call. If this host's configuration doesn't know them and
+/// isn't recent, the call waits for a confirmation that it is. Such calls cause no load on the store or the leader,
+/// however many there are.
+pub(crate) async fn admit(host: &Host, name: &str, path: &str, key: Credential, until: Instant) -> Admission {
+    let until = until.min(Instant::now() + MAX_CONFIG_WAIT);
+    let mut known = host.subscribe_config_confirmed();
+    loop {
+        known.mark_unchanged();
+        let config = host.config();
+        if config.version == 0 {
+            return Admission::Unsure;
+        }
+        let refusal = match access::admit(&config, name, path, key) {
+            Ok((queue, client)) => return Admission::Granted(Box::new(queue.clone()), client),
+            Err(refusal) => refusal,
+        };
+        let age = host.config_age();
+        let certain = matches!(refusal, Refusal::Denied(Denial::Missing | Denial::Malformed));
+        let remaining = until.saturating_duration_since(Instant::now());
+        if certain || age < MAX_CONFIG_AGE || remaining.is_zero() {
+            let sure = certain || age < MAX_CONFIG_AGE;
+            emit!(host.log, events::CALL_NOT_ADMITTED, "path" => path, "why" => refusal.to_string(), "sure" => sure,
+                "config" => config.version, "config_age_ms" => age.as_millis() as u64);
+            return if sure { Admission::Refused(refusal) } else { Admission::Unsure };
+        }
+        // Wakes up when the configuration is confirmed again, or at the deadline.
+        let _ = tokio::time::timeout(remaining, known.changed()).await;
+    }
+}
--- a/components/entry/src/host.rs
+++ b/components/entry/src/host.rs
@@ -1,4 +1,4 @@
-//! One entry host: what it knows of the configuration and of the leader, and how calls reach the leader.
+//! An entry host: its view of the configuration and of the leader, and the forwarding of calls to the leader.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,14 +12,13 @@
 use work::key::Credential;
 use work::{Config, Unit, WorkerId};
 
-use crate::edge::{Adviser, Directory, Fault, Store, Workers};
-use crate::follow::{self, Admission};
-use crate::latest::Latest;
+use crate::config::{self, Admission};
+use crate::heartbeat::{self, Heartbeats};
+use crate::latest::LatestTime;
+use crate::leadership::Leadership;
 use crate::message::{Answer, Call, Leader};
-use crate::reign::Reign;
-use crate::signs::{self, Signs};
+use crate::services::{Adviser, Directory, ServiceError, Store, Workers};
 
-/// A link between entry hosts.
 pub type Link = link::Link<Call, Answer>;
 
 /// Settings of an entry host.
@@ -27,84 +26,78 @@
 pub struct Settings {
     /// Name of the host.
     pub host: String,
-    /// Unique to this life of the process.
-    pub life: u64,
-    /// Where other hosts reach it.
+    /// Unique id of this process.
+    pub incarnation: u64,
+    /// Address at which other hosts reach this one.
     pub address: String,
-    /// Bounds for the decisions.
+    /// Limits for scheduling decisions.
     pub limits: sched::Limits,
     /// Time to live of the leader's lease in the store.
     pub lease_ttl: Duration,
-    /// How much longer than others this host waits before it claims: a weak host leads only when no other does.
+    /// Additional delay before this host claims leadership, so that a weak host leads only when no other does.
     pub claim_delay: Duration,
 }
 
-/// The outside of an entry host.
+/// Services that an entry host depends on.
 #[derive(Clone)]
-pub struct Edges {
-    /// The key-value service.
+pub struct Services {
     pub store: Arc<dyn Store>,
-    /// Configuration and list of workers.
+    /// Source of the configuration and the list of workers.
     pub directory: Arc<dyn Directory>,
-    /// The workers.
     pub workers: Arc<dyn Workers>,
-    /// The adviser, where there is one.
+    /// The advice service, if there is one.
     pub adviser: Option<Arc<dyn Adviser>>,
-    /// The clock by which all ages are reckoned.
+    /// Clock from which all ages are computed.
     pub clock: clock::Clock,
 }
 
 /// Who leads, as far as this host knows.
 #[derive(Clone)]
 pub enum Role {
-    /// Nobody is known to.
-    Nobody,
-    /// This host.
-    Leading(Arc<Reign>),
-    /// Another host, to which there is a link.
+    /// No leader is known.
+    NoLeader,
+    /// This host leads.
+    Leading(Arc<Leadership>),
+    /// Another host leads, and there is a link to it.
     Following(Leader, Arc<Link>),
 }
 
-/// One entry host.
 pub struct Host {
-    /// Its settings.
     pub settings: Settings,
-    /// Its outside.
-    pub(crate) edges: Edges,
-    /// Its log.
+    pub(crate) services: Services,
     pub log: Logger,
-    /// Its metrics.
     pub metrics: metrics::Jobs,
-    /// Zero of its steady clock.
+    /// Start of its monotonic clock.
     pub(crate) started: clock::Stopwatch,
     config: watch::Sender<Arc<Config>>,
-    /// When it was last known to be the newest, on the steady clock.
-    config_known: watch::Sender<Duration>,
+    /// When the configuration was last known to be the newest, on the monotonic clock.
+    config_confirmed_at: watch::Sender<Duration>,
     role: watch::Sender<Role>,
-    /// Followers by name, while it leads.
+    /// Followers by name, while this host leads.
     pub(crate) followers: Mutex<BTreeMap<String, Follower>>,
-    /// Term of this host's latest claim that was done; its reign begins once the log is read.
-    pub(crate) seated: AtomicU64,
-    /// When the lease of that claim was last prolonged, until the reign does so.
-    pub(crate) claim_kept: Latest,
-    /// What the leader has told this host.
-    pub(crate) signs: Signs,
-    /// When the store last answered the loop that follows the leader's record, or that loop last began to ask.
-    store_heard: Latest,
-    /// Held while a claim is under way.
-    pub(crate) claiming: tokio::sync::Mutex<()>,
+    /// Term of this host's latest successful claim, 0 for none; its leadership begins once the log is read.
+    pub(crate) claimed_term: AtomicU64,
+    /// When the lease of that claim was last renewed, until the leadership renews it.
+    pub(crate) claim_renewed_at: LatestTime,
+    /// State learnt from the leader's heartbeats.
+    pub(crate) heartbeats: Heartbeats,
+    /// When the store last answered the loop that follows the leader's record, or when that loop last began to ask
+    /// it.
+    store_answered_at: LatestTime,
+    /// Held while a claim is in progress.
+    pub(crate) claim_lock: tokio::sync::Mutex<()>,
     stopping: watch::Sender<bool>,
 }
 
-/// A follower's link.
+/// A registered follower.
 #[derive(Clone)]
 pub(crate) struct Follower {
     pub host: String,
-    /// Where it takes links itself.
+    /// Address on which it accepts links.
     pub address: String,
-    /// Term of the leader that it meant when it made itself known.
+    /// Term of the leader that it named when it registered.
     pub term: work::Term,
-    /// Whether it neither led nor claimed then.
+    /// Whether it neither led nor claimed at that time.
     pub idle: bool,
     pub link: Arc<Link>,
     /// How long it waits before it claims; see [`Settings::claim_delay`].
@@ -112,47 +105,47 @@
 }
 
 impl Follower {
-    /// Whether it can be asked now.
+    /// Whether it can be called now.
     fn is_live(&self) -> bool {
-        self.link.silence() < FOLLOWER_SILENCE
+        self.link.silence() < MAX_FOLLOWER_SILENCE
     }
 }
 
-/// A follower that hasn't been heard for so long isn't asked anything: it sends a sign of life every 300 ms.
-const FOLLOWER_SILENCE: Duration = Duration::from_millis(1000);
-/// The link of a follower that hasn't been heard for so long is closed.
-const FOLLOWER_GONE: Duration = Duration::from_secs(5);
-/// Pause before a call is tried again when there is no leader to take it.
-const RETRY_PAUSE: Duration = Duration::from_millis(40);
-/// A host that knows no leader looks into the store several times in this time: without an answer for so long it won't
-/// learn of a new one soon.
-const STORE_SILENCE: Duration = Duration::from_millis(800);
-/// The leader answers states and counts at once: after this time it is taken for gone.
-const QUICK_ANSWER: Duration = Duration::from_millis(700);
+/// Followers that were silent for this long aren't called; a live follower sends a ping every 300 ms.
+const MAX_FOLLOWER_SILENCE: Duration = Duration::from_millis(1000);
+/// The link of a follower that was silent for this long is closed.
+const FOLLOWER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Delay before a call is retried when there is no leader to handle it.
+const RETRY_DELAY: Duration = Duration::from_millis(40);
+/// A host without a leader reads from the store several times within this time. If the store was silent for this
+/// long, the host won't learn of a new leader soon.
+const STORE_TIMEOUT: Duration = Duration::from_millis(800);
+/// The leader answers reads at once; if it doesn't answer within this time, it is considered gone.
+const LEADER_TIMEOUT: Duration = Duration::from_millis(700);
 
 impl Host {
-    /// Puts a host together; nothing runs yet.
-    pub fn new(settings: Settings, edges: Edges, log: Logger, metrics: metrics::Jobs) -> Arc<Host> {
+    /// Creates a host without starting its background tasks; see [`crate::spawn`].
+    pub fn new(settings: Settings, services: Services, log: Logger, metrics: metrics::Jobs) -> Arc<Host> {
         Arc::new(Host {
-            started: edges.clock.start(),
+            started: services.clock.start(),
             settings,
-            edges,
+            services,
             log,
             metrics,
             config: watch::Sender::new(Arc::new(Config::default())),
-            config_known: watch::Sender::new(Duration::ZERO),
-            role: watch::Sender::new(Role::Nobody),
+            config_confirmed_at: watch::Sender::new(Duration::ZERO),
+            role: watch::Sender::new(Role::NoLeader),
             followers: Mutex::new(BTreeMap::new()),
-            seated: AtomicU64::new(0),
-            claim_kept: Latest::new(Duration::ZERO),
-            signs: Signs::new(),
-            store_heard: Latest::new(Duration::ZERO),
-            claiming: tokio::sync::Mutex::new(()),
+            claimed_term: AtomicU64::new(0),
+            claim_renewed_at: LatestTime::new(Duration::ZERO),
+            heartbeats: Heartbeats::new(),
+            store_answered_at: LatestTime::new(Duration::ZERO),
+            claim_lock: tokio::sync::Mutex::new(()),
             stopping: watch::Sender::new(false),
         })
     }
 
-    /// The time on this host's clocks.
+    /// Current monotonic and wall-clock time.
     pub(crate) fn clock(&self) -> sched::Clock {
         let wall = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
         sched::Clock { now: self.started.elapsed(), wall }
@@ -163,13 +156,14 @@
         self.config.borrow().clone()
     }
 
-    /// Follows the configuration.
-    pub(crate) fn configs(&self) -> watch::Receiver<Arc<Config>> {
+    /// Subscribes to changes of the configuration.
+    pub(crate) fn subscribe_config(&self) -> watch::Receiver<Arc<Config>> {
         self.config.subscribe()
     }
 
-    /// Takes a configuration if it is newer; from the store, or from another host.
-    pub fn take_config(&self, config: Config, source: &'static str) -> bool {
+    /// Replaces the configuration if `config` is newer. Returns whether it was. `source` says where it came from: the
+    /// store or another host.
+    pub fn update_config(&self, config: Config, source: &'static str) -> bool {
         let version = config.version;
         let queues = config.queues.len();
         let newer = self.config.send_if_modified(|current| {
@@ -186,95 +180,96 @@
         newer
     }
 
-    /// Takes note that no newer configuration than this host's was in force at this time.
-    pub(crate) fn config_known(&self, at: Duration) {
-        self.config_known.send_if_modified(|known| {
+    /// Records that no newer configuration than this host's was in force at this time.
+    pub(crate) fn confirm_config(&self, at: Duration) {
+        self.config_confirmed_at.send_if_modified(|known| {
             let later = at > *known;
             *known = at.max(*known);
             later
         });
     }
 
-    /// Follows the times at which the configuration is known to be the newest.
-    pub(crate) fn configs_known(&self) -> watch::Receiver<Duration> {
-        self.config_known.subscribe()
+    /// Subscribes to the times at which the configuration was known to be the newest.
+    pub(crate) fn subscribe_config_confirmed(&self) -> watch::Receiver<Duration> {
+        self.config_confirmed_at.subscribe()
     }
 
-    /// How long ago the configuration was known to be the newest.
+    /// Time since the configuration was last known to be the newest.
     pub(crate) fn config_age(&self) -> Duration {
-        self.started.elapsed().saturating_sub(*self.config_known.borrow())
+        self.started.elapsed().saturating_sub(*self.config_confirmed_at.borrow())
     }
 
-    /// Finds the queue and the workspace of a caller's call, by the host name, the path and the key that it brings.
+    /// Determines the queue and the workspace of a caller's call from its host name, path and credential.
     pub async fn admit(&self, name: &str, path: &str, key: Credential, until: Instant) -> Admission {
-        follow::admit(self, name, path, key, until).await
+        config::admit(self, name, path, key, until).await
     }
 
-    /// Who leads.
+    /// Who leads, as far as this host knows.
     pub fn role(&self) -> Role {
         self.role.borrow().clone()
     }
 
-    /// The leader that this host knows.
+    /// The leader, if this host knows one.
     pub(crate) fn leader(&self) -> Option<Leader> {
         match self.role() {
-            Role::Nobody => None,
-            Role::Leading(reign) => Some(reign.seat.lock().leader.clone()),
+            Role::NoLeader => None,
+            Role::Leading(leadership) => Some(leadership.claim.lock().leader.clone()),
             Role::Following(leader, _) => Some(leader),
         }
     }
 
     /// Whether this host neither leads nor claims leadership.
     pub(crate) fn idle(&self) -> bool {
-        let leads = matches!(self.role(), Role::Leading(_)) || self.seated.load(Ordering::Acquire) != 0;
-        !leads && self.claiming.try_lock().is_ok()
+        let leads = matches!(self.role(), Role::Leading(_)) || self.claimed_term.load(Ordering::Acquire) != 0;
+        !leads && self.claim_lock.try_lock().is_ok()
     }
 
-    /// A reign of this host is over: nobody is known to lead, unless that has changed already.
-    pub(crate) fn left(&self, term: work::Term) {
-        if matches!(self.role(), Role::Leading(reign) if reign.term == term) {
-            self.set_role(Role::Nobody);
+    /// Records that this host's leadership of `term` has ended: no leader is known, unless the role has changed
+    /// already.
+    pub(crate) fn leadership_ended(&self, term: work::Term) {
+        if matches!(self.role(), Role::Leading(leadership) if leadership.term == term) {
+            self.set_role(Role::NoLeader);
         }
     }
 
     pub(crate) fn set_role(&self, role: Role) {
         let term = match &role {
-            Role::Leading(reign) => reign.term,
-            Role::Nobody | Role::Following(..) => 0,
+            Role::Leading(leadership) => leadership.term,
+            Role::NoLeader | Role::Following(..) => 0,
         };
         self.metrics.term.set(term as i64);
         match &role {
-            Role::Nobody => emit!(self.log, events::LEADER_LOST),
-            Role::Leading(reign) => emit!(self.log, events::LEADER_KNOWN, "leader" => &self.settings.host,
-                "term" => reign.term),
+            Role::NoLeader => emit!(self.log, events::LEADER_LOST),
+            Role::Leading(leadership) => emit!(self.log, events::LEADER_KNOWN, "leader" => &self.settings.host,
+                "term" => leadership.term),
             Role::Following(leader, _) => emit!(self.log, events::LEADER_KNOWN, "leader" => &leader.host,
                 "term" => leader.term),
         }
-        if !signs::leads_for(self).is_zero() {
-            self.ask_store();
+        if !heartbeat::leader_confirmed_for(self).is_zero() {
+            self.reset_store_silence();
         }
         self.role.send_replace(role);
     }
 
-    pub(crate) fn roles(&self) -> watch::Receiver<Role> {
+    pub(crate) fn subscribe_role(&self) -> watch::Receiver<Role> {
         self.role.subscribe()
     }
 
-    /// Takes note of the store's answer, if there is one.
-    pub(crate) fn hear_store<T>(&self, outcome: &Result<T, Fault>) {
+    /// Records that the store answered, if it did.
+    pub(crate) fn note_store_answer<T>(&self, outcome: &Result<T, ServiceError>) {
         if outcome.is_ok() {
-            self.store_heard.note(self.started.elapsed());
+            self.store_answered_at.advance(self.started.elapsed());
         }
     }
 
-    /// Takes note that the store is asked from now on: its silence counts from here.
-    pub(crate) fn ask_store(&self) {
-        self.store_heard.note(self.started.elapsed());
+    /// Restarts the measurement of the store's silence when this host begins to ask it.
+    pub(crate) fn reset_store_silence(&self) {
+        self.store_answered_at.advance(self.started.elapsed());
     }
 
-    /// Whether the store has left this host without an answer for a while.
+    /// Whether the store hasn't answered this host for a while.
     fn store_silent(&self) -> bool {
-        self.store_heard.ago(self.started.elapsed()) > STORE_SILENCE
+        self.store_answered_at.age(self.started.elapsed()) > STORE_TIMEOUT
     }
 
     /// Whether a planned stop has begun.
@@ -282,91 +277,94 @@
         *self.stopping.borrow()
     }
 
-    /// Begins a planned stop: gives leadership up and takes no more of it.
+    /// Begins a planned stop: hands leadership over and doesn't claim it again.
     pub async fn stop(&self) {
         self.stopping.send_replace(true);
-        if let Role::Leading(reign) = self.role() {
-            reign.hand_over().await;
-            self.set_role(Role::Nobody);
+        if let Role::Leading(leadership) = self.role() {
+            leadership.hand_over().await;
+            self.set_role(Role::NoLeader);
         }
     }
 
-    /// Whether callers can be served: there is a configuration, and a way to the leader.
+    /// Whether calls can be handled: there is a configuration and a known leader.
     pub fn ready(&self) -> bool {
-        !self.stopping() && self.config().version > 0 && !matches!(self.role(), Role::Nobody)
+        !self.stopping() && self.config().version > 0 && !matches!(self.role(), Role::NoLeader)
     }
 
-    /// Followers that can be asked now. Links of those that are gone without a sign are closed.
+    /// Followers that can be called now. Closes the links of followers that are gone.
     pub(crate) fn live_followers(&self) -> Vec<Follower> {
         let mut followers = self.followers.lock();
         followers
             .values()
-            .filter(|follower| follower.link.silence() > FOLLOWER_GONE)
+            .filter(|follower| follower.link.silence() > FOLLOWER_TIMEOUT)
             .for_each(|gone| gone.link.close());
         followers.retain(|_, follower| !follower.link.is_down());
         followers.values().filter(|follower| follower.is_live()).cloned().collect()
     }
 
-    /// Ends the links of followers, since this host leads no more: they look for who does.
-    pub(crate) fn release_followers(&self) {
+    /// Closes the links of all followers because this host no longer leads, so that they look for the new leader.
+    pub(crate) fn disconnect_followers(&self) {
         std::mem::take(&mut *self.followers.lock()).values().for_each(|follower| follower.link.close());
     }
 
-    /// Asks the adviser which of `workers` may run a unit. `None` without an adviser, or without its answer.
+    /// Asks the advice service which of `workers` may run a unit. `None` without an advice service, or if it
+    /// doesn't answer.
     pub(crate) async fn advice(&self, unit: Unit, workers: &[WorkerId]) -> Option<Vec<(WorkerId, String)>> {
-        let adviser = self.edges.adviser.as_ref()?;
+        let adviser = self.services.adviser.as_ref()?;
         match adviser.advise(unit, workers).await {
             Ok(healthy) => Some(healthy),
-            Err(fault) => {
-                emit!(self.log, events::ADVICE_FAILED, "unit" => unit.to_string(), "fault" => fault.to_string());
+            Err(error) => {
+                emit!(self.log, events::ADVICE_FAILED, "unit" => unit.to_string(), "fault" => error.to_string());
                 None
             }
         }
     }
 
-    /// Asks the leader, whoever that is, until `until`. Asks again when the leader changes: all calls may be
-    /// repeated. Without a leader it waits for the next one only while the store answers this host.
+    /// Sends a call to the current leader, with retries until `until`. The call is sent again when the leader
+    /// changes, since all calls are idempotent. Without a leader, it waits for the next one only while the store
+    /// answers this host.
     pub async fn ask(&self, call: Call, until: Instant) -> Answer {
         let mut sent = false;
-        let mut roles = self.roles();
+        let mut roles = self.subscribe_role();
         loop {
-            let left = until.saturating_duration_since(Instant::now());
+            let remaining = until.saturating_duration_since(Instant::now());
             let role = roles.borrow_and_update().clone();
-            let hopeless = matches!(role, Role::Nobody) && self.store_silent();
-            if left.is_zero() || hopeless {
+            let unreachable = matches!(role, Role::NoLeader) && self.store_silent();
+            if remaining.is_zero() || unreachable {
                 return if sent { Answer::Unknown } else { Answer::NotLeader };
             }
             let in_doubt = sent;
             let answer = match role {
-                Role::Nobody => None,
-                Role::Leading(reign) => Some(reign.answer(call.clone()).await),
+                Role::NoLeader => None,
+                Role::Leading(leadership) => Some(leadership.answer(call.clone()).await),
                 Role::Following(_, link) => {
-                    let outcome = link.call(call.clone(), left.min(patience(&call))).await;
+                    let outcome = link.call(call.clone(), remaining.min(answer_timeout(&call))).await;
                     sent |= outcome != Err(link::Fault::Down);
                     outcome.ok()
                 }
             };
             match answer {
                 None | Some(Answer::NotLeader) => {}
-                // A leader that was replaced can't tell; the next one can.
+                // A leader that was replaced doesn't know the outcome; the next one does.
                 Some(Answer::Unknown) => sent = true,
-                // It judges the key as it is now, before it looks for the job, which an earlier leader may have taken.
+                // The leader checks the current key before it looks for the job, which an earlier leader may have
+                // accepted.
                 Some(Answer::NotAdmitted(_)) if in_doubt && matches!(call, Call::Submit { .. }) => {
                     return Answer::Unknown;
                 }
                 Some(answer) => return answer,
             }
-            let left = until.saturating_duration_since(Instant::now());
-            // Either wakes the loop: a new leader, or time to try again.
-            let _ = tokio::time::timeout(RETRY_PAUSE.min(left), roles.changed()).await;
+            let remaining = until.saturating_duration_since(Instant::now());
+            // Wakes up when the leader changes, or when it is time to retry.
+            let _ = tokio::time::timeout(RETRY_DELAY.min(remaining), roles.changed()).await;
         }
     }
 }
 
-/// How long an answer of the leader may take.
-fn patience(call: &Call) -> Duration {
+/// How long the leader may take to answer a call.
+fn answer_timeout(call: &Call) -> Duration {
     match call {
-        Call::Submit { wait, .. } | Call::Cancel { wait, .. } => *wait + QUICK_ANSWER,
-        _ => QUICK_ANSWER,
+        Call::Submit { wait, .. } | Call::Cancel { wait, .. } => *wait + LEADER_TIMEOUT,
+        _ => LEADER_TIMEOUT,
     }
 }
--- a/components/entry/src/lib.rs
+++ b/components/entry/src/lib.rs
@@ -1,37 +1,37 @@
-//! An entry host for callers' jobs: takes calls, follows or is the leader.
+//! Entry hosts: they accept callers' jobs over links and either lead the cell or forward calls to the leader.
 //!
-//! Every host runs the same program. One of them leads: it decides, orders workers and writes the log. The others
-//! pass calls on to it, and ask the adviser for it.
+//! Every host runs the same program. One of them is the leader: it schedules, sends orders to workers and writes the
+//! log to the store. The other hosts forward calls to the leader and query the advice service on its behalf.
 
 mod access;
-mod edge;
+mod config;
 mod election;
-mod follow;
+mod heartbeat;
 mod host;
 mod latest;
+mod leadership;
 mod message;
 mod outage;
 mod peers;
-mod reign;
-mod signs;
+mod services;
 
 use std::sync::Arc;
 
 use tokio::net::TcpListener;
 
 pub use access::{Caller, Client, Refusal as AccessRefusal};
-pub use edge::{
-    Adviser, Change, Commit, Directory, Fault, Held, Item, LeaseId, Order, Put, Read, Refusal, Renewal, Reply, Store,
-    Target, Transaction, Workers,
-};
-pub use follow::Admission;
-pub use host::{Edges, Host, Link, Role, Settings};
+pub use config::Admission;
+pub use host::{Host, Link, Role, Services, Settings};
+pub use leadership::Leadership;
 pub use message::{Alive, Answer, Call, Leader};
-pub use reign::Reign;
+pub use services::{
+    Adviser, CommitOutcome, Directory, KeyValue, LeaseId, Order, Put, Read, Refusal, Renewal, Reply, ServiceError,
+    Store, Target, Transaction, WatchResult, WorkerStatus, Workers,
+};
 
-/// Runs a host in the background, with `listener` for links of other hosts.
+/// Starts a host's background tasks. Other hosts connect to `listener`.
 pub fn spawn(host: &Arc<Host>, listener: TcpListener) {
     tokio::spawn(peers::listen(host.clone(), listener));
-    tokio::spawn(follow::config(host.clone()));
+    tokio::spawn(config::run(host.clone()));
     tokio::spawn(election::run(host.clone()));
 }
--- a/components/entry/tests/restart.rs
+++ b/components/entry/tests/restart.rs
@@ -1,67 +1,69 @@
-//! Whole entry hosts and workers that are back under their former id.
+//! Workers that restart under the same id.
 //!
-//! What users would see: a task that is done is done again, on a platform where a worker that starts again keeps its id. In the order of
-//! events: a worker lists ends 1 to 3, and they are acknowledged; it starts again, and the numbers of its ends begin at 1; a task is done
-//! there as end 1, and the next renewal, which acknowledges ends up to 3 once more, has it forgotten before anybody has seen it.
+//! Guards against finished tasks being run again after a worker restart, on a platform where a restarted worker keeps
+//! its id: a worker reports run ends 1 to 3, and they are acknowledged; it restarts and numbers its run ends from 1
+//! again; a task finishes there as end 1, and the next renewal, which acknowledges ends up to 3 once more, makes the
+//! worker drop it before the leader has seen it.
 //!
-//! Evidence: with six jobs before and six after, the worker's renewals all acknowledge end 6 and list no end of the seventh job, which is
-//! started three times and then given up. Cause: each renewal repeated what had been acknowledged long before.
+//! With six jobs before and six after the restart, the renewals all acknowledged end 6 and listed no end of the
+//! seventh job, which was started three times and then given up. The cause was that each renewal repeated old
+//! acknowledgements.
 
 mod support;
 
 use entry::Answer;
 use fakes::cell::{Cell, Conduct};
 use sched::RunOutcome;
-use support::{PATIENCE, cell, ends, hosts, info, submit, until};
+use support::{TEST_TIMEOUT, new_cell, start_hosts, submit, wait_for_end, wait_until, worker_info};
 use work::Outcome;
 
-/// A task may be started so often under which each worker ends: a bound of the platform.
-const MOST_STARTS: usize = 5;
-/// Jobs before the workers start again, and after.
+/// Limit of the platform on the starts of a task while each of its workers is lost.
+const MAX_STARTS: usize = 5;
+/// Number of jobs before the workers restart, and after.
 const JOBS: u64 = 6;
 
 #[tokio::test]
-async fn an_end_of_a_next_life_is_not_acknowledged_unseen() {
-    let cell = cell();
-    let hosts = hosts(&cell, 1).await;
+async fn a_run_end_after_a_restart_is_not_acknowledged_unseen() {
+    let cell = new_cell();
+    let hosts = start_hosts(&cell, 1).await;
     for id in 0..JOBS {
         assert_eq!(submit(&hosts[0], id, 1).await, Answer::Accepted);
-        assert_eq!(ends(&hosts[0], id).await, Outcome::Completed);
+        assert_eq!(wait_for_end(&hosts[0], id).await, Outcome::Completed);
     }
     let acknowledged = |id| cell.worker(id, |worker| worker.ended.is_empty()) == Some(true);
-    until("all ends are acknowledged", || acknowledged("w0") && acknowledged("w1")).await;
-    (0..2).for_each(|number| cell.add_worker(&format!("w{number}"), info(number)));
+    wait_until("all ends are acknowledged", || acknowledged("w0") && acknowledged("w1")).await;
+    (0..2).for_each(|number| cell.add_worker(&format!("w{number}"), worker_info(number)));
     for id in JOBS..2 * JOBS {
         assert_eq!(submit(&hosts[0], id, 1).await, Answer::Accepted);
-        assert_eq!(ends(&hosts[0], id).await, Outcome::Completed);
+        assert_eq!(wait_for_end(&hosts[0], id).await, Outcome::Completed);
     }
     assert_eq!(cell.starts().len() as u64, 2 * JOBS, "each task is done once");
 }
 
-/// Where the platform tells when a worker was born, a run that went with its worker is held against its task, and one that the next life may
-/// have is waited for there.
+/// If the platform reports when a worker started, a run that was lost with its worker counts against its task, and
+/// the leader waits for a run that the next incarnation may still have.
 #[tokio::test]
-async fn a_worker_that_is_born_again_is_another_one() {
-    let cell = cell();
-    (0..2).for_each(|number| bear(&cell, number, 1000));
-    let hosts = hosts(&cell, 1).await;
-    cell.conduct(Conduct { takes: PATIENCE, how: RunOutcome::Done });
+async fn a_worker_with_a_new_start_time_is_another_incarnation() {
+    let cell = new_cell();
+    (0..2).for_each(|number| add_incarnation(&cell, number, 1000));
+    let hosts = start_hosts(&cell, 1).await;
+    cell.conduct(Conduct { takes: TEST_TIMEOUT, how: RunOutcome::Done });
     assert_eq!(submit(&hosts[0], 7, 1).await, Answer::Accepted);
-    let bearing = async {
-        for starts in 1..=MOST_STARTS {
-            until("it is started", || cell.starts().len() >= starts).await;
-            (0..2).for_each(|number| bear(&cell, number, 1000 + starts as u64));
+    let restarts = async {
+        for starts in 1..=MAX_STARTS {
+            wait_until("it is started", || cell.starts().len() >= starts).await;
+            (0..2).for_each(|number| add_incarnation(&cell, number, 1000 + starts as u64));
         }
     };
     let outcome = tokio::select! {
-        outcome = ends(&hosts[0], 7) => outcome,
-        () = async { bearing.await; std::future::pending().await } => unreachable!("it waits for ever"),
+        outcome = wait_for_end(&hosts[0], 7) => outcome,
+        () = async { restarts.await; std::future::pending().await } => unreachable!("the restarts never return"),
     };
-    assert_eq!(outcome, Outcome::Failed, "workers have ended under it");
-    assert!(cell.starts().len() <= MOST_STARTS);
+    assert_eq!(outcome, Outcome::Failed, "its workers were lost while they ran it");
+    assert!(cell.starts().len() <= MAX_STARTS);
 }
 
-/// Worker `number` is born, or born again.
-fn bear(cell: &Cell, number: usize, birth: u64) {
-    cell.add_life(&format!("w{number}"), info(number), Some(birth));
+/// Adds worker `number`, or its next incarnation, started at `birth`.
+fn add_incarnation(cell: &Cell, number: usize, started_at: u64) {
+    cell.add_life(&format!("w{number}"), worker_info(number), Some(started_at));
 }
