--- a/components/sched/tests/decisions/assemble.rs
+++ b/components/sched/tests/decisions/assemble.rs
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn gangs_start_in_time_on_a_full_cell_and_preempted_jobs_meet_their_objective() {
+fn gangs_start_in_time_on_a_full_cell_and_patient_jobs_wait_little() {
     let mut simulation = Simulation::new(100);
     let (gangs, patients) = simulation.run_load(Duration::from_secs(25));
     assert!(gangs.len() >= 15 && patients.len() >= 100, "{} and {}", gangs.len(), patients.len());
