--- a/components/entry/src/host.rs
+++ b/components/entry/src/host.rs
@@ -45,7 +45,7 @@
     /// Source of the configuration and the list of workers.
     pub directory: Arc<dyn Directory>,
     pub workers: Arc<dyn Workers>,
-    /// The adviser, if there is one.
+    /// The advice service, if there is one.
     pub adviser: Option<Arc<dyn Adviser>>,
     /// Clock from which all ages are computed.
     pub clock: clock::Clock,
@@ -307,7 +307,8 @@
         std::mem::take(&mut *self.followers.lock()).values().for_each(|follower| follower.link.close());
     }
 
-    /// Asks the adviser which of `workers` may run a unit. `None` without an adviser, or if it doesn't answer.
+    /// Asks the advice service which of `workers` may run a unit. `None` without an advice service, or if it
+    /// doesn't answer.
     pub(crate) async fn advice(&self, unit: Unit, workers: &[WorkerId]) -> Option<Vec<(WorkerId, String)>> {
         let adviser = self.services.adviser.as_ref()?;
         match adviser.advise(unit, workers).await {
