--- a/components/api/src/server.rs
+++ b/components/api/src/server.rs
@@ -72,8 +72,8 @@
 /// Checks the bearer token. Compares `blake3` hashes because their comparison takes constant time and so reveals nothing
 /// about the key.
 fn check_authorization(request: &RequestContext<Context>) -> Result<(), HttpError> {
-    let header = request.request.headers().get(header::AUTHORIZATION).and_then(|value| value.to_str().ok());
-    let presented = header.and_then(|value| value.strip_prefix(BEARER_PREFIX)).unwrap_or_default();
+    let authorization = request.request.headers().get(header::AUTHORIZATION).and_then(|value| value.to_str().ok());
+    let presented = authorization.and_then(|value| value.strip_prefix(BEARER_PREFIX)).unwrap_or_default();
     let expected = request.context().shared_key();
     if blake3::hash(presented.as_bytes()) == blake3::hash(expected.as_bytes()) {
         return Ok(());
--- a/components/console/src/server.rs
+++ b/components/console/src/server.rs
@@ -83,21 +83,21 @@
     console.host.ask(call, Instant::now() + LEADER_TIMEOUT).await
 }
 
-fn no_leader_error() -> HttpError {
+fn no_leader() -> HttpError {
     HttpError::for_unavail(None, "no leader responds; nothing was done".to_owned())
 }
 
-fn unknown_outcome_error() -> HttpError {
+fn unknown_outcome() -> HttpError {
     let message = "the outcome is not known".to_owned();
     HttpError::for_client_error(None, dropshot::ClientErrorStatusCode::CONFLICT, message)
 }
 
-fn not_found_error(message: String) -> HttpError {
+fn not_found(message: String) -> HttpError {
     HttpError::for_client_error(None, dropshot::ClientErrorStatusCode::NOT_FOUND, message)
 }
 
-fn no_such_job_error() -> HttpError {
-    not_found_error("no such job".to_owned())
+fn no_such_job() -> HttpError {
+    not_found("no such job".to_owned())
 }
 
 /// Returns the state of a job and the reasons for it.
@@ -107,8 +107,8 @@
     let id = path.job_id()?;
     match call_leader(context.context(), Call::Explain { id }).await {
         Answer::Explanation(Some(explanation)) => Ok(HttpResponseOk(Job { id: path.id, explanation })),
-        Answer::Explanation(None) => Err(no_such_job_error()),
-        _ => Err(no_leader_error()),
+        Answer::Explanation(None) => Err(no_such_job()),
+        _ => Err(no_leader()),
     }
 }
 
@@ -125,7 +125,7 @@
     job.check().map_err(|error| HttpError::for_bad_request(None, error.to_string()))?;
     let console = context.context();
     if console.host.config().queue(&submission.queue).is_none() {
-        return Err(not_found_error(format!("there is no queue `{}`", submission.queue)));
+        return Err(not_found(format!("there is no queue `{}`", submission.queue)));
     }
     let call = Call::Submit {
         caller: Caller::Operator,
@@ -140,8 +140,8 @@
             None,
             format!("job not accepted, and it never runs; retry after {} s", retry_after.as_secs().max(1)),
         )),
-        Answer::NotLeader => Err(no_leader_error()),
-        _ => Err(unknown_outcome_error()),
+        Answer::NotLeader => Err(no_leader()),
+        _ => Err(unknown_outcome()),
     }
 }
 
@@ -151,9 +151,9 @@
     let id = path.into_inner().job_id()?;
     match call_leader(context.context(), Call::Cancel { caller: Caller::Operator, id, wait: LEADER_TIMEOUT }).await {
         Answer::Cancelled(true) => Ok(HttpResponseDeleted()),
-        Answer::Cancelled(false) => Err(no_such_job_error()),
-        Answer::NotLeader => Err(no_leader_error()),
-        _ => Err(unknown_outcome_error()),
+        Answer::Cancelled(false) => Err(no_such_job()),
+        Answer::NotLeader => Err(no_leader()),
+        _ => Err(unknown_outcome()),
     }
 }
 
@@ -178,9 +178,7 @@
 #[endpoint { method = GET, path = "/workspaces" }]
 async fn workspaces(context: RequestContext<Context>) -> Result<HttpResponseOk<Vec<Workspace>>, HttpError> {
     let console = context.context();
-    let Answer::Workspaces(standing) = call_leader(console, Call::Workspaces).await else {
-        return Err(no_leader_error());
-    };
+    let Answer::Workspaces(standing) = call_leader(console, Call::Workspaces).await else { return Err(no_leader()) };
     let config = console.host.config();
     let shown = standing.into_iter().map(|standing| Workspace::new(standing, &config));
     Ok(HttpResponseOk(shown.collect()))
--- a/components/events/src/catalogue.rs
+++ b/components/events/src/catalogue.rs
@@ -102,7 +102,7 @@
     /// Patient tasks were stopped in favour of urgent work.
     TASK_PREEMPTED = 507, Info, "patient attempts preempted by urgent work";
     /// This host temporarily lost its authority over idempotency keys.
-    KEYS_UNCERTAIN = 602, Warning, "host lacks recent contact to a quorum; non-repeatable requests stay unanswered";
+    KEYS_UNCERTAIN = 602, Warning, "host lacks recent contact with a quorum; non-repeatable requests stay unanswered";
     /// A caller's job is recorded.
     JOB_ACCEPTED = 610, Info, "job accepted";
     JOB_REFUSED = 611, Info, "job refused; it did not run";
