--- a/bins/walkhookd/src/cli.rs
+++ b/bins/walkhookd/src/cli.rs
@@ -1,16 +1,16 @@
-//! The arguments of `walkhookd`.
+//! Command-line arguments of `walkhookd`.
 
 use argh::FromArgs;
 
-/// One entry host of a walkhook cell. It serves until it gets SIGTERM or SIGINT, then hands over what it is
-/// responsible for, finishes what is in flight and exits with 0.
+/// Runs one entry host of a walkhook cell. On SIGTERM or SIGINT it hands its responsibilities over to other hosts,
+/// completes the requests in flight and exits with 0.
 #[derive(FromArgs, Debug)]
 pub struct Cli {
-    /// the settings file, in YAML
+    /// path of the YAML settings file
     #[argh(option)]
     pub settings: std::path::PathBuf,
 
-    /// only check the settings: exit with 0 when they are good, with 2 and all faults when they are not
+    /// only validate the settings: exit with 0 if they are valid; otherwise print every fault and exit with 2
     #[argh(switch)]
     pub check: bool,
 }
--- a/bins/walkhookd/src/main.rs
+++ b/bins/walkhookd/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon of an entry host.
+//! The `walkhookd` binary.
 
 use std::process::ExitCode;
 
--- a/bins/walkhookd/src/run.rs
+++ b/bins/walkhookd/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs the entry host until a signal.
+//! Runs an entry host until it receives a termination signal.
 
 use std::process::ExitCode;
 
@@ -8,24 +8,24 @@
 use crate::NOT_STARTED;
 
 pub(crate) fn run(settings: Settings) -> ExitCode {
-    let log = events::logger(std::io::stdout(), level(settings.log), &settings.host);
+    let log = events::logger(std::io::stdout(), event_level(settings.log), &settings.host);
     let runtime = match tokio::runtime::Runtime::new() {
         Ok(runtime) => runtime,
-        Err(fault) => {
-            eprintln!("can't start threads: {fault}");
+        Err(error) => {
+            eprintln!("can't start the async runtime: {error}");
             return ExitCode::from(NOT_STARTED);
         }
     };
-    match runtime.block_on(node::run(settings, log, told_to_stop())) {
+    match runtime.block_on(node::run(settings, log, shutdown_signal())) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("{fault}");
+        Err(error) => {
+            eprintln!("{error}");
             ExitCode::from(NOT_STARTED)
         }
     }
 }
 
-fn level(level: Level) -> events::Level {
+fn event_level(level: Level) -> events::Level {
     match level {
         Level::Debug => events::Level::Debug,
         Level::Info => events::Level::Info,
@@ -34,8 +34,10 @@
     }
 }
 
-async fn told_to_stop() {
-    // Without a handler the signal ends the process at once, which is all that is left to do then.
+/// Completes on SIGTERM or SIGINT.
+async fn shutdown_signal() {
+    // If no handler can be installed, this never completes: the signal's default action ends the process at once,
+    // without a handover.
     let (Ok(mut terminate), Ok(mut interrupt)) = (signal(SignalKind::terminate()), signal(SignalKind::interrupt()))
     else {
         return std::future::pending().await;
