--- a/bins/walkhookd/examples/capacity/main.rs
+++ b/bins/walkhookd/examples/capacity/main.rs
@@ -10,10 +10,10 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-use support::{Cell, DEFAULT, batch, until};
+use support::{Cell, DEFAULT_TIMINGS, batch, wait_until};
 
-const SETTLE: Duration = Duration::from_secs(4);
-const MEASURE: Duration = Duration::from_secs(10);
+const SETTLE_TIME: Duration = Duration::from_secs(4);
+const MEASURING_TIME: Duration = Duration::from_secs(10);
 
 /// What one entry host costs, as the mean over the hosts of a run.
 #[derive(Clone, Copy, Debug, Default)]
@@ -39,39 +39,39 @@
     );
     let mut rows = Vec::new();
     for hosts in [2, 4, 8] {
-        rows.push((hosts as f64, idle(hosts, 1, 0).await));
+        rows.push((hosts as f64, cost_when_idle(hosts, 1, 0).await));
     }
-    fit("hosts of a data centre", &rows);
+    print_fit("hosts of a data centre", &rows);
     rows.clear();
     for workers in [20, 60, 120] {
-        rows.push((workers as f64 / 2.0, idle(2, workers, 0).await));
+        rows.push((workers as f64 / 2.0, cost_when_idle(2, workers, 0).await));
     }
-    fit("workers held by a host", &rows);
+    print_fit("workers held by a host", &rows);
     rows.clear();
     for tasks in [0, 300, 900] {
-        rows.push((tasks as f64 / 2.0, idle(2, 120, tasks).await));
+        rows.push((tasks as f64 / 2.0, cost_when_idle(2, 120, tasks).await));
     }
-    fit("tasks on a host's workers", &rows);
+    print_fit("tasks on a host's workers", &rows);
     rows.clear();
     for rate in [5, 15, 30] {
-        rows.push((f64::from(rate) / 2.0, starting(2, 40, rate).await));
+        rows.push((f64::from(rate) / 2.0, cost_of_starts(2, 40, rate).await));
     }
-    fit("starts a second and host", &rows);
+    print_fit("starts a second and host", &rows);
 }
 
 /// The cost of a cell in which nothing happens.
-async fn idle(hosts: usize, workers: usize, tasks: u32) -> Cost {
-    let cell = Cell::start_at(&[("gt-1", hosts, workers)], DEFAULT).await;
+async fn cost_when_idle(hosts: usize, workers: usize, tasks: u32) -> Cost {
+    let cell = Cell::start_with_timings(&[("gt-1", hosts, workers)], DEFAULT_TIMINGS).await;
     if tasks > 0 {
         cell.submit(0, &batch("long", tasks, 1, "run 1h")).await;
-        until("all run", || async { running(&cell) == tasks as usize }).await;
+        wait_until("all run", || async { running(&cell) == tasks as usize }).await;
     }
-    observe(&cell).await
+    measure_cost(&cell).await
 }
 
 /// The cost while so many tasks a second are accepted, started, finished and acknowledged.
-async fn starting(hosts: usize, workers: usize, rate: u32) -> Cost {
-    let cell = Cell::start_at(&[("gt-1", hosts, workers)], DEFAULT).await;
+async fn cost_of_starts(hosts: usize, workers: usize, rate: u32) -> Cost {
+    let cell = Cell::start_with_timings(&[("gt-1", hosts, workers)], DEFAULT_TIMINGS).await;
     let submitting = async {
         let mut every = tokio::time::interval(Duration::from_secs(1));
         for round in 0.. {
@@ -81,7 +81,7 @@
     };
     tokio::select! {
         () = submitting => unreachable!("it goes on"),
-        cost = observe(&cell) => cost,
+        cost = measure_cost(&cell) => cost,
     }
 }
 
@@ -89,13 +89,13 @@
     cell.workers.iter().map(|(_, worker)| worker.running().len()).sum()
 }
 
-async fn observe(cell: &Cell) -> Cost {
-    tokio::time::sleep(SETTLE).await;
+async fn measure_cost(cell: &Cell) -> Cost {
+    tokio::time::sleep(SETTLE_TIME).await;
     let before = sample(cell).await;
-    let began = Instant::now();
-    tokio::time::sleep(MEASURE).await;
+    let started_at = Instant::now();
+    tokio::time::sleep(MEASURING_TIME).await;
     let after = sample(cell).await;
-    let seconds = began.elapsed().as_secs_f64();
+    let seconds = started_at.elapsed().as_secs_f64();
     let hosts = cell.hosts.len() as f64;
     Cost {
         cpu: (after.cpu - before.cpu) / seconds / hosts,
@@ -108,7 +108,7 @@
 async fn sample(cell: &Cell) -> Cost {
     let mut sum = Cost::default();
     for host in &cell.hosts {
-        let (cpu, memory) = host.costs();
+        let (cpu, memory) = host.resource_usage();
         sum.cpu += cpu as f64;
         sum.memory += memory as f64 / 1024.0;
         sum.control += control_bytes(host.operators).await;
@@ -124,10 +124,10 @@
 }
 
 /// Prints the rows and the line of least squares through them, with the largest distance from it.
-fn fit(what: &str, rows: &[(f64, Cost)]) {
+fn print_fit(description: &str, rows: &[(f64, Cost)]) {
     for (size, cost) in rows {
         println!(
-            "{what:<26} {size:>6} {:>9.2} {:>9.1} {:>11.0} {:>11.2}",
+            "{description:<26} {size:>6} {:>9.2} {:>9.1} {:>11.0} {:>11.2}",
             cost.cpu, cost.memory, cost.control, cost.platform
         );
     }
@@ -135,21 +135,22 @@
         let count = rows.len() as f64;
         let mean_size = rows.iter().map(|(size, _)| size).sum::<f64>() / count;
         let mean = rows.iter().map(|(_, cost)| value(cost)).sum::<f64>() / count;
-        let over: f64 = rows.iter().map(|(size, cost)| (size - mean_size) * (value(cost) - mean)).sum();
-        let under: f64 = rows.iter().map(|(size, _)| (size - mean_size).powi(2)).sum();
-        let slope = over / under;
-        let start = mean - slope * mean_size;
-        let residual = rows.iter().map(|(size, cost)| (value(cost) - start - slope * size).abs()).fold(0.0, f64::max);
-        (start, slope, residual)
+        let cross_products: f64 = rows.iter().map(|(size, cost)| (size - mean_size) * (value(cost) - mean)).sum();
+        let squares: f64 = rows.iter().map(|(size, _)| (size - mean_size).powi(2)).sum();
+        let slope = cross_products / squares;
+        let intercept = mean - slope * mean_size;
+        let residual =
+            rows.iter().map(|(size, cost)| (value(cost) - intercept - slope * size).abs()).fold(0.0, f64::max);
+        (intercept, slope, residual)
     };
-    let shown = [
+    let fitted = [
         ("cpu m", line(|cost| cost.cpu)),
         ("MiB", line(|cost| cost.memory)),
         ("control B/s", line(|cost| cost.control)),
         ("platform/s", line(|cost| cost.platform)),
     ];
-    for (name, (start, slope, residual)) in shown {
-        println!("  {name:<12} = {start:>9.3} + {slope:>9.4} each   (residual {residual:.3})");
+    for (name, (intercept, slope, residual)) in fitted {
+        println!("  {name:<12} = {intercept:>9.3} + {slope:>9.4} each   (residual {residual:.3})");
     }
     println!();
 }
--- a/bins/walkhookd/examples/cell/main.rs
+++ b/bins/walkhookd/examples/cell/main.rs
@@ -24,24 +24,24 @@
     }
     let stay = arguments.iter().any(|argument| argument == "--stay");
     let runtime = tokio::runtime::Runtime::new().expect("threads for the example");
-    match runtime.block_on(show(stay)) {
+    match runtime.block_on(run_demo(stay)) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("{fault:#}");
+        Err(error) => {
+            eprintln!("{error:#}");
             ExitCode::FAILURE
         }
     }
 }
 
-async fn show(stay: bool) -> Result<()> {
+async fn run_demo(stay: bool) -> Result<()> {
     let mut cell = Cell::start().await?;
     println!("cell is up: 1 platform, {} entry hosts, {} workers", cell.hosts.len(), cell.workers);
 
     let plan = include_str!("plan.yaml");
     let outcome = cell.execute("submit plan.yaml", Some(plan)).await?;
     println!("\n> submit plan.yaml\n{}", outcome.message);
-    cell.until("show tasks where state = running and kind = service", 8).await?;
-    cell.until("show tasks where state = finished", 10).await?;
+    cell.wait_for_rows("show tasks where state = running and kind = service", 8).await?;
+    cell.wait_for_rows("show tasks where state = finished", 10).await?;
     for statement in [
         "show workloads",
         "show tasks",
@@ -53,10 +53,10 @@
         cell.print(statement).await?;
     }
 
-    callers::send(&cell).await?;
+    callers::send_requests(&cell).await?;
     cell.print("show requests").await?;
-    callers::compare(&cell).await?;
-    cell.print_costs();
+    callers::compare_latency(&cell).await?;
+    cell.print_resource_usage();
 
     if stay {
         cell.print_commands();
--- a/bins/walkhookd/examples/cell/processes.rs
+++ b/bins/walkhookd/examples/cell/processes.rs
@@ -12,16 +12,16 @@
 use store::{Host, Kind};
 use uuid::Uuid;
 
-const KEY: &str = "the shared key of the example cell";
+const SHARED_KEY: &str = "the shared key of the example cell";
 const DATA_CENTRES: [&str; 2] = ["gt-1", "gt-2"];
-const HOSTS_EACH: usize = 2;
-const WORKERS_EACH: usize = 3;
+const HOSTS_PER_DATA_CENTRE: usize = 2;
+const WORKERS_PER_DATA_CENTRE: usize = 3;
 const CORES: u32 = 16;
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Addresses of one entry host.
 #[derive(Clone, Debug)]
-pub(crate) struct Entry {
+pub(crate) struct EntryHost {
     pub(crate) name: String,
     data_centre: &'static str,
     pub(crate) callers: SocketAddr,
@@ -30,16 +30,16 @@
     relay: SocketAddr,
 }
 
-struct Part {
+struct ChildProcess {
     name: String,
     process: Child,
 }
 
 /// The running cell.
 pub(crate) struct Cell {
-    folder: PathBuf,
-    parts: Vec<Part>,
-    pub(crate) hosts: Vec<Entry>,
+    directory: PathBuf,
+    children: Vec<ChildProcess>,
+    pub(crate) hosts: Vec<EntryHost>,
     pub(crate) workers: usize,
     http: web::Client,
 }
@@ -53,38 +53,38 @@
 
 fn free_addresses<const N: usize>() -> Result<[SocketAddr; N]> {
     // All are taken at once, so that no two are the same.
-    let taken: Vec<TcpListener> =
+    let listeners: Vec<TcpListener> =
         (10_000..=u16::MAX).filter_map(|port| TcpListener::bind((own_ip(), port)).ok()).take(N).collect();
-    let addresses: Vec<SocketAddr> = taken.iter().map(TcpListener::local_addr).collect::<std::io::Result<_>>()?;
+    let addresses: Vec<SocketAddr> = listeners.iter().map(TcpListener::local_addr).collect::<std::io::Result<_>>()?;
     addresses.try_into().map_err(|_| anyhow::anyhow!("too few addresses"))
 }
 
 impl Cell {
     /// Starts all parts and waits until every entry host serves.
     pub(crate) async fn start() -> Result<Cell> {
-        let folder = std::env::temp_dir().join(format!("walkhook-cell-{}", std::process::id()));
-        std::fs::create_dir_all(&folder)?;
-        let http = web::Client::new(Duration::from_secs(10), 16 * 1024 * 1024).with_bearer(KEY);
-        let mut cell = Cell { folder, parts: Vec::new(), hosts: Vec::new(), workers: 0, http };
+        let directory = std::env::temp_dir().join(format!("walkhook-cell-{}", std::process::id()));
+        std::fs::create_dir_all(&directory)?;
+        let http = web::Client::new(Duration::from_secs(10), 16 * 1024 * 1024).with_bearer(SHARED_KEY);
+        let mut cell = Cell { directory, children: Vec::new(), hosts: Vec::new(), workers: 0, http };
         let [platform] = free_addresses()?;
         cell.spawn("platform", &["platform", &platform.to_string()])?;
-        cell.until_open(platform).await?;
+        cell.wait_until_listening(platform).await?;
         cell.start_workers(platform).await?;
         cell.start_hosts(platform)?;
         for host in cell.hosts.clone() {
-            cell.until_open(host.operators).await?;
+            cell.wait_until_listening(host.operators).await?;
         }
         let hosts = cell.hosts.len();
-        cell.until("show hosts where state != dead", hosts).await?;
-        cell.until("show workers where state = live", cell.workers).await?;
+        cell.wait_for_rows("show hosts where state != dead", hosts).await?;
+        cell.wait_for_rows("show workers where state = live", cell.workers).await?;
         for host in &cell.hosts {
-            cell.until_ready(host.callers).await?;
+            cell.wait_until_ready(host.callers).await?;
         }
         Ok(cell)
     }
 
     fn spawn(&mut self, name: &str, role: &[&str]) -> Result<()> {
-        let log = File::create(self.folder.join(format!("{name}.log")))?;
+        let log = File::create(self.directory.join(format!("{name}.log")))?;
         let process = Command::new(std::env::current_exe()?)
             .arg("--role")
             .args(role)
@@ -93,17 +93,17 @@
             .stdout(log)
             .spawn()
             .with_context(|| format!("can't start {name}"))?;
-        self.parts.push(Part { name: name.to_owned(), process });
+        self.children.push(ChildProcess { name: name.to_owned(), process });
         Ok(())
     }
 
     async fn start_workers(&mut self, platform: SocketAddr) -> Result<()> {
         for data_centre in DATA_CENTRES {
-            for number in 0..WORKERS_EACH {
+            for number in 0..WORKERS_PER_DATA_CENTRE {
                 let name = format!("{data_centre}-w{number}");
                 let [address] = free_addresses()?;
                 self.spawn(&name, &["worker", &address.to_string(), &CORES.to_string()])?;
-                self.until_open(address).await?;
+                self.wait_until_listening(address).await?;
                 let host = Host {
                     name,
                     kind: Kind::Worker,
@@ -121,35 +121,35 @@
     }
 
     fn start_hosts(&mut self, platform: SocketAddr) -> Result<()> {
-        let all = free_addresses::<{ 4 * HOSTS_EACH * DATA_CENTRES.len() }>()?;
-        for (at, own) in all.chunks(4).enumerate() {
-            let (data_centre, number) = (DATA_CENTRES[at / HOSTS_EACH], at % HOSTS_EACH);
-            let [callers, operators, peers, relay] = [own[0], own[1], own[2], own[3]];
+        let all = free_addresses::<{ 4 * HOSTS_PER_DATA_CENTRE * DATA_CENTRES.len() }>()?;
+        for (at, addresses) in all.chunks(4).enumerate() {
+            let (data_centre, number) = (DATA_CENTRES[at / HOSTS_PER_DATA_CENTRE], at % HOSTS_PER_DATA_CENTRE);
+            let [callers, operators, peers, relay] = [addresses[0], addresses[1], addresses[2], addresses[3]];
             let name = format!("{data_centre}-e{number}");
-            self.hosts.push(Entry { name, data_centre, callers, operators, peers, relay });
+            self.hosts.push(EntryHost { name, data_centre, callers, operators, peers, relay });
         }
         for host in self.hosts.clone() {
-            let file = self.folder.join(format!("{}.yaml", host.name));
+            let file = self.directory.join(format!("{}.yaml", host.name));
             std::fs::write(&file, settings(&host, &self.hosts[0], platform))?;
             self.spawn(&host.name, &["walkhookd", &file.display().to_string()])?;
         }
         Ok(())
     }
 
-    async fn until_open(&self, address: SocketAddr) -> Result<()> {
-        let began = Instant::now();
+    async fn wait_until_listening(&self, address: SocketAddr) -> Result<()> {
+        let started_at = Instant::now();
         while tokio::net::TcpStream::connect(address).await.is_err() {
-            ensure!(began.elapsed() < PATIENCE, "nothing listens on {address}");
+            ensure!(started_at.elapsed() < TIMEOUT, "nothing listens on {address}");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         Ok(())
     }
 
     /// Waits, as the balancer does, until an entry host says that it takes callers' requests.
-    async fn until_ready(&self, callers: SocketAddr) -> Result<()> {
-        let began = Instant::now();
+    async fn wait_until_ready(&self, callers: SocketAddr) -> Result<()> {
+        let started_at = Instant::now();
         while self.http.get::<String>(&format!("http://{callers}/-/health")).await.is_err() {
-            ensure!(began.elapsed() < PATIENCE, "{callers} does not get ready");
+            ensure!(started_at.elapsed() < TIMEOUT, "{callers} does not get ready");
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
         Ok(())
@@ -166,16 +166,16 @@
     }
 
     /// Waits until a statement shows at least so many rows.
-    pub(crate) async fn until(&self, statement: &str, rows: usize) -> Result<()> {
-        let began = Instant::now();
+    pub(crate) async fn wait_for_rows(&self, statement: &str, rows: usize) -> Result<()> {
+        let started_at = Instant::now();
         loop {
             let outcome = self.execute(statement, None).await?;
             let found = outcome.table.map_or(0, |table| table.rows.len());
             if found >= rows {
                 return Ok(());
             }
-            if began.elapsed() > PATIENCE {
-                bail!("{statement}: {found} rows, expected {rows}; logs in {}", self.folder.display());
+            if started_at.elapsed() > TIMEOUT {
+                bail!("{statement}: {found} rows, expected {rows}; logs in {}", self.directory.display());
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
@@ -195,55 +195,55 @@
     }
 
     /// Processor time and memory of each process so far.
-    pub(crate) fn print_costs(&self) {
+    pub(crate) fn print_resource_usage(&self) {
         println!("\nprocess    cpu ms  resident KiB");
-        for part in &self.parts {
-            let (cpu, memory) = costs(part.process.id()).unwrap_or_default();
-            println!("{:<9} {cpu:>7} {memory:>13}", part.name);
+        for child in &self.children {
+            let (cpu, memory) = resource_usage(child.process.id()).unwrap_or_default();
+            println!("{:<9} {cpu:>7} {memory:>13}", child.name);
         }
     }
 
     pub(crate) fn print_commands(&self) {
         println!("\nthe cell stays up; try, from another terminal:");
-        println!("  export WALKHOOK_KEY='{KEY}'");
+        println!("  export WALKHOOK_KEY='{SHARED_KEY}'");
         println!("  cargo run --release --bin walkhook -- --entry {} show tasks", self.hosts[0].operators);
         println!("  curl -i -H 'x-team: rail' http://{}/slots/7", self.hosts[0].callers);
         println!("press Ctrl-C to stop it");
     }
 
     /// Stops the entry hosts by SIGTERM and waits for them; then ends the stand-ins.
-    pub(crate) async fn stop(&mut self, patience: Duration) -> Vec<Option<i32>> {
+    pub(crate) async fn stop(&mut self, timeout: Duration) -> Vec<Option<i32>> {
         let names: Vec<&String> = self.hosts.iter().map(|host| &host.name).collect();
-        let (hosts, others): (Vec<Part>, Vec<Part>) =
-            std::mem::take(&mut self.parts).into_iter().partition(|part| names.contains(&&part.name));
-        for part in &hosts {
-            let _ = Command::new("kill").args(["-TERM", &part.process.id().to_string()]).status();
+        let (hosts, stand_ins): (Vec<ChildProcess>, Vec<ChildProcess>) =
+            std::mem::take(&mut self.children).into_iter().partition(|child| names.contains(&&child.name));
+        for child in &hosts {
+            let _ = Command::new("kill").args(["-TERM", &child.process.id().to_string()]).status();
         }
         let mut codes = Vec::new();
-        for mut part in hosts {
-            codes.push(exit_code(&mut part.process, patience).await);
+        for mut child in hosts {
+            codes.push(exit_code(&mut child.process, timeout).await);
         }
-        for mut part in others {
-            let _ = part.process.kill();
-            let _ = part.process.wait();
+        for mut child in stand_ins {
+            let _ = child.process.kill();
+            let _ = child.process.wait();
         }
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
         codes
     }
 }
 
 impl Drop for Cell {
     fn drop(&mut self) {
-        for part in &mut self.parts {
-            let _ = part.process.kill();
-            let _ = part.process.wait();
+        for child in &mut self.children {
+            let _ = child.process.kill();
+            let _ = child.process.wait();
         }
     }
 }
 
-async fn exit_code(process: &mut Child, patience: Duration) -> Option<i32> {
-    let began = Instant::now();
-    while began.elapsed() < patience {
+async fn exit_code(process: &mut Child, timeout: Duration) -> Option<i32> {
+    let started_at = Instant::now();
+    while started_at.elapsed() < timeout {
         if let Ok(Some(status)) = process.try_wait() {
             return status.code();
         }
@@ -255,7 +255,7 @@
 }
 
 /// Processor milliseconds and resident KiB of a process.
-fn costs(id: u32) -> Option<(u64, u64)> {
+fn resource_usage(id: u32) -> Option<(u64, u64)> {
     let process = Path::new("/proc").join(id.to_string());
     let stat = std::fs::read_to_string(process.join("stat")).ok()?;
     let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
@@ -264,8 +264,8 @@
     Some((ticks * 10, pages * 4))
 }
 
-fn settings(host: &Entry, seed: &Entry, platform: SocketAddr) -> String {
-    let Entry { name, data_centre, callers, operators, peers, relay } = host;
+fn settings(host: &EntryHost, seed: &EntryHost, platform: SocketAddr) -> String {
+    let EntryHost { name, data_centre, callers, operators, peers, relay } = host;
     let all = DATA_CENTRES.join(", ");
     format!(
         "cell: example
@@ -280,7 +280,7 @@
 seeds: [{seed}]
 platform:
   address: {platform}
-shared_key: {KEY}
+shared_key: {SHARED_KEY}
 log: debug
 classes:
   - name: slot-check
--- a/bins/walkhookd/examples/cell/roles.rs
+++ b/bins/walkhookd/examples/cell/roles.rs
@@ -7,9 +7,9 @@
 use model::Resources;
 
 /// Runs the part that the words name: `platform ADDRESS`, `worker ADDRESS CORES`, `walkhookd SETTINGS`.
-pub(crate) fn run(words: &[String]) -> ExitCode {
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    match words.as_slice() {
+pub(crate) fn run(arguments: &[String]) -> ExitCode {
+    let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
+    match arguments.as_slice() {
         ["platform", address] => {
             let address = address.parse().expect("an address");
             block_on(async move {
@@ -34,8 +34,8 @@
     }
 }
 
-fn block_on(part: impl Future<Output = ()>) -> ExitCode {
+fn block_on(role: impl Future<Output = ()>) -> ExitCode {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
-    runtime.expect("threads for the part").block_on(part);
+    runtime.expect("threads for the part").block_on(role);
     ExitCode::SUCCESS
 }
--- a/bins/walkhookd/examples/starts/main.rs
+++ b/bins/walkhookd/examples/starts/main.rs
@@ -9,7 +9,7 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-use support::{Cell, DEFAULT, until};
+use support::{Cell, DEFAULT_TIMINGS, wait_until};
 
 const WORKERS: usize = 50;
 
@@ -17,100 +17,104 @@
     support::run_example(measure())
 }
 
-fn small(name: &str, tasks: u32) -> String {
+fn small_tasks(name: &str, tasks: u32) -> String {
     support::batch(name, tasks, 1, "run 1h").replace("processors: 1, memory: 1GiB", "processors: 0.02, memory: 8MiB")
 }
 
-fn started(cell: &Cell) -> usize {
+fn start_count(cell: &Cell) -> usize {
     cell.workers.iter().map(|(_, worker)| worker.starts().len()).sum()
 }
 
 async fn measure() {
-    bursts().await;
-    urgent().await;
-    cancels().await;
+    measure_bursts().await;
+    measure_urgent().await;
+    measure_cancels().await;
 }
 
 /// A wave of cancels through all hosts at once, of work that waits on a full cell.
-async fn cancels() {
+async fn measure_cancels() {
     const PLANS: usize = 20;
-    const EACH: usize = 50;
-    let cell = Cell::start_at(&[("gt-1", 3, 4)], DEFAULT).await;
+    const PER_PLAN: usize = 50;
+    let cell = Cell::start_with_timings(&[("gt-1", 3, 4)], DEFAULT_TIMINGS).await;
     cell.submit(0, &support::batch("full", 4 * support::CORES, 1, "run 1h")).await;
-    until("the cell is full", || async { started(&cell) == 4 * support::CORES as usize }).await;
+    wait_until("the cell is full", || async { start_count(&cell) == 4 * support::CORES as usize }).await;
     for plan in 0..PLANS {
-        let lines = (0..EACH).map(|at| {
+        let lines = (0..PER_PLAN).map(|at| {
             format!("  - {{ name: w-{plan}-{at}, team: rail, kind: batch, instances: 10, each: {{ processors: 1, memory: 1GiB }}, run: run 1s }}")
         });
         let text = format!("workloads:\n{}\n", lines.collect::<Vec<_>>().join("\n"));
         cell.submit(plan % 3, &text).await;
     }
-    let names: Vec<String> = (0..PLANS).flat_map(|plan| (0..EACH).map(move |at| format!("w-{plan}-{at}"))).collect();
+    let names: Vec<String> =
+        (0..PLANS).flat_map(|plan| (0..PER_PLAN).map(move |at| format!("w-{plan}-{at}"))).collect();
     for host in 0..3 {
-        cell.until_rows(host, "show workloads", names.len() + 1).await;
+        cell.wait_for_rows(host, "show workloads", names.len() + 1).await;
     }
     let writes = |cell: &Cell| cell.platform.counts().calls.get("/v3/kv/txn").copied().unwrap_or(0);
-    let (began, before) = (Instant::now(), writes(&cell));
+    let (started_at, before) = (Instant::now(), writes(&cell));
     let cancel = |(at, name): (usize, &String)| {
         let statement = format!("cancel workload {name}");
         let cell = &cell;
-        async move { cell.ask(at % 3, &statement, None).await.is_some_and(|outcome| outcome.status == api::Status::Done) }
+        async move {
+            cell.try_execute(at % 3, &statement, None).await.is_some_and(|outcome| outcome.status == api::Status::Done)
+        }
     };
     let outcomes = futures_util::future::join_all(names.iter().enumerate().map(cancel)).await;
     let done = outcomes.iter().filter(|done| **done).count();
-    let took = began.elapsed().as_secs_f64();
-    let used = writes(&cell) - before;
+    let took = started_at.elapsed().as_secs_f64();
+    let write_count = writes(&cell) - before;
     println!(
-        "\n{} cancels at once through three hosts: {done} done in {took:.2} s, {used} platform writes",
+        "\n{} cancels at once through three hosts: {done} done in {took:.2} s, {write_count} platform writes",
         names.len()
     );
     cell.execute(0, "cancel workload full").await;
     cell.submit(0, &support::batch("after", 16, 1, "run 100ms")).await;
-    until("the next work runs", || async { cell.starts().keys().any(|task| task.workload == "after") }).await;
-    let late = cell.starts().keys().filter(|task| task.workload.starts_with("w-")).count();
-    println!("cancelled tasks started: {late} of {}", names.len() * 10);
+    wait_until("the next work runs", || async { cell.start_counts().keys().any(|task| task.workload == "after") })
+        .await;
+    let started_after_cancel = cell.start_counts().keys().filter(|task| task.workload.starts_with("w-")).count();
+    println!("cancelled tasks started: {started_after_cancel} of {}", names.len() * 10);
 }
 
 /// How long urgent work waits on a cell that is full of patient work.
-async fn urgent() {
-    let cell = Cell::start_at(&[("gt-1", 3, WORKERS)], DEFAULT).await;
+async fn measure_urgent() {
+    let cell = Cell::start_with_timings(&[("gt-1", 3, WORKERS)], DEFAULT_TIMINGS).await;
     let cores = WORKERS as u32 * support::CORES;
     let running = |name: &str| {
         let all = cell.workers.iter().flat_map(|(_, worker)| worker.running());
         all.filter(|task| task.workload == name).count()
     };
-    let of = |name: &str, priority: &str, tasks: u32, processors: u32| {
+    let prioritized = |name: &str, priority: &str, tasks: u32, processors: u32| {
         support::batch(name, tasks, processors, "run 1h")
             .replace("kind: batch", &format!("kind: batch, priority: {priority}"))
     };
-    cell.submit(0, &of("menus", "patient", cores, 1)).await;
-    until("the cell is full", || async { running("menus") == cores as usize }).await;
+    cell.submit(0, &prioritized("menus", "patient", cores, 1)).await;
+    wait_until("the cell is full", || async { running("menus") == cores as usize }).await;
     println!("\nurgent tasks of 4 cores on a full cell   seconds until all run   patient tasks stopped");
     let mut stopped = 0;
     for (round, tasks) in [1u32, 10, 40].into_iter().enumerate() {
         let name = format!("rush-{round}");
-        let began = Instant::now();
-        cell.submit(round % 3, &of(&name, "urgent", tasks, 4)).await;
+        let started_at = Instant::now();
+        cell.submit(round % 3, &prioritized(&name, "urgent", tasks, 4)).await;
         while running(&name) < tasks as usize {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
         let now_stopped = cores as usize - running("menus");
-        println!("{tasks:>38} {:>24.2} {:>23}", began.elapsed().as_secs_f64(), now_stopped - stopped);
+        println!("{tasks:>38} {:>24.2} {:>23}", started_at.elapsed().as_secs_f64(), now_stopped - stopped);
         stopped = now_stopped;
     }
 }
 
-async fn bursts() {
-    let mut cell = Cell::start_at(&[("gt-1", 3, WORKERS)], DEFAULT).await;
+async fn measure_bursts() {
+    let mut cell = Cell::start_with_timings(&[("gt-1", 3, WORKERS)], DEFAULT_TIMINGS).await;
     println!("tasks in a burst  seconds  starts a second");
     let mut before = 0;
     for (round, tasks) in [500u32, 2_000, 6_000].into_iter().enumerate() {
-        let began = Instant::now();
-        cell.submit(0, &small(&format!("burst-{round}"), tasks)).await;
-        while started(&cell) < before + tasks as usize {
+        let started_at = Instant::now();
+        cell.submit(0, &small_tasks(&format!("burst-{round}"), tasks)).await;
+        while start_count(&cell) < before + tasks as usize {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
-        let took = began.elapsed().as_secs_f64();
+        let took = started_at.elapsed().as_secs_f64();
         println!("{tasks:>16} {took:>8.2} {:>16.0}", f64::from(tasks) / took);
         before += tasks as usize;
     }
@@ -122,23 +126,23 @@
         println!("{line}");
     }
     for victim in [1, 2] {
-        let began = Instant::now();
+        let started_at = Instant::now();
         cell.hosts[victim].kill();
-        let live = format!("show workers where state = live and holder != gt-1-e{victim}");
-        cell.until_rows(0, &live, WORKERS).await;
-        let held = began.elapsed();
-        cell.submit(0, &small(&format!("after-{victim}"), 200)).await;
-        let expected = started(&cell).max(before) + 200;
-        until("new work runs", || async { started(&cell) >= expected.min(before + 200) }).await;
+        let statement = format!("show workers where state = live and holder != gt-1-e{victim}");
+        cell.wait_for_rows(0, &statement, WORKERS).await;
+        let reassigned_after = started_at.elapsed();
+        cell.submit(0, &small_tasks(&format!("after-{victim}"), 200)).await;
+        let expected = start_count(&cell).max(before) + 200;
+        wait_until("new work runs", || async { start_count(&cell) >= expected.min(before + 200) }).await;
         println!(
             "killed gt-1-e{victim}: workers held again after {:.2} s, new work started after {:.2} s",
-            held.as_secs_f64(),
-            began.elapsed().as_secs_f64()
+            reassigned_after.as_secs_f64(),
+            started_at.elapsed().as_secs_f64()
         );
         before += 200;
         cell.hosts[victim].restart();
-        cell.until_ready(victim).await;
+        cell.wait_until_ready(victim).await;
         tokio::time::sleep(Duration::from_secs(4)).await;
     }
-    println!("tasks started more than once: {} of {tasks}", cell.started_again().len());
+    println!("tasks started more than once: {} of {tasks}", cell.started_more_than_once().len());
 }
--- a/bins/walkhookd/tests/settings.rs
+++ b/bins/walkhookd/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The daemon's arguments and settings file.
+//! Exit codes and messages of the daemon for settings files that it cannot use.
 
 use std::process::Command;
 
@@ -8,22 +8,22 @@
     if check {
         command.arg("--check");
     }
-    let output = command.output().expect("it runs");
+    let output = command.output().expect("walkhookd can be started");
     (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
 }
 
 #[test]
-fn bad_settings_start_nothing_and_exit_with_two() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let file = folder.path().join("bad.yaml");
-    std::fs::write(&file, "cell: a\nhost: b\ncolour: red\n").expect("a file");
+fn invalid_settings_are_reported_with_exit_code_2() {
+    let directory = tempfile::tempdir().expect("a temporary directory");
+    let file = directory.path().join("bad.yaml");
+    std::fs::write(&file, "cell: a\nhost: b\ncolour: red\n").expect("a settings file");
     for check in [true, false] {
-        let (code, said) = walkhookd(&file, check);
-        assert_eq!(code, Some(2));
-        assert!(said.contains("bad.yaml:3: colour: unknown field"), "{said}");
-        assert!(said.contains("listen: missing"), "{said}");
+        let (exit_code, stderr) = walkhookd(&file, check);
+        assert_eq!(exit_code, Some(2));
+        assert!(stderr.contains("bad.yaml:3: colour: unknown field"), "{stderr}");
+        assert!(stderr.contains("listen: missing"), "{stderr}");
     }
-    let (code, said) = walkhookd(&folder.path().join("none.yaml"), true);
-    assert_eq!(code, Some(2));
-    assert!(said.contains("none.yaml: can't be read"), "{said}");
+    let (exit_code, stderr) = walkhookd(&directory.path().join("none.yaml"), true);
+    assert_eq!(exit_code, Some(2));
+    assert!(stderr.contains("none.yaml: can't be read"), "{stderr}");
 }
