--- a/components/entry/src/leadership/renewal.rs
+++ b/components/entry/src/leadership/renewal.rs
@@ -246,7 +246,7 @@
     fn note_answer(&mut self, clock: Duration) {
         let host = &self.leadership.host;
         if std::mem::take(&mut self.silent) {
-            emit!(host.log, events::WORKER_BACK, "worker" => &self.target.id, "lapsed" => self.expired);
+            emit!(host.log, events::WORKER_RESPONDING, "worker" => &self.target.id, "lapsed" => self.expired);
         }
         self.expired = false;
         let known = self.leadership.claim.lock().last_leader.is_some();
@@ -288,7 +288,7 @@
         }
         let expired = self.lease.lock().is_expired(host.started.elapsed());
         if expired && !std::mem::replace(&mut self.expired, true) {
-            emit!(host.log, events::WORKER_LAPSED, "worker" => id);
+            emit!(host.log, events::WORKER_LEASES_EXPIRED, "worker" => id);
             self.leadership.engine.lock().leases_expired(host.clock(), id);
             self.leadership.plan.notify_one();
         }
@@ -310,7 +310,7 @@
     // A run end is reported with every renewal until its record is written.
     let fresh = ended.iter().filter(|end| end.number > taken);
     for end in fresh {
-        leadership.host.metrics.ends.get_or_create(&metrics::Outcome { outcome: end.outcome.name() }).inc();
+        leadership.host.metrics.ends.get_or_create(&metrics::OutcomeLabels { outcome: end.outcome.name() }).inc();
         emit!(leadership.host.log, events::RUN_ENDED, "task" => end.task.to_string(), "attempt" => end.attempt,
             "worker" => &target.id, "how" => format!("{:?}", end.outcome), "number" => end.number);
     }
