--- a/bins/walkhook/src/client.rs
+++ b/bins/walkhook/src/client.rs
@@ -6,7 +6,7 @@
 use anyhow::{Context, Result, bail};
 use api::{Command, Outcome, Status};
 use uuid::Uuid;
-use web::Fault;
+use web::ClientError;
 
 use crate::cli::Cli;
 
@@ -51,8 +51,8 @@
             match self.http.post::<_, Outcome>(&url, &command).await {
                 Ok(outcome) if outcome.status == Status::Unknown => return self.ask_after(command.command).await,
                 Ok(outcome) => return outcome,
-                Err(Fault::NotSent(why)) => last = format!("{entry}: {why}"),
-                Err(Fault::Status { status, body }) if status.is_client_error() => {
+                Err(ClientError::NotSent(why)) => last = format!("{entry}: {why}"),
+                Err(ClientError::Status { status, body }) if status.is_client_error() => {
                     return Outcome::not_done(format!("{entry}: {status}: {body}"));
                 }
                 Err(_) => return self.ask_after(command.command).await,
--- a/bins/walkhook/src/job.rs
+++ b/bins/walkhook/src/job.rs
@@ -87,8 +87,8 @@
                 show(&command, &answer, cli.output);
                 return Ok(Status::Done);
             }
-            Err(web::Fault::NotSent(fault)) => last = Some(fault),
-            Err(web::Fault::Status { status, body }) => {
+            Err(web::ClientError::NotSent(fault)) => last = Some(fault),
+            Err(web::ClientError::Status { status, body }) => {
                 eprintln!("{status}: {}", message(&body));
                 return Ok(Status::NotDone);
             }
@@ -101,7 +101,7 @@
     bail!("no entry host answers: {}", last.unwrap_or_else(|| "none is named by --entry".to_owned()))
 }
 
-async fn call(client: &web::Client, entry: SocketAddr, command: &Command) -> Result<Value, web::Fault> {
+async fn call(client: &web::Client, entry: SocketAddr, command: &Command) -> Result<Value, web::ClientError> {
     let base = format!("http://{entry}");
     match command {
         Command::Why(id) => client.get(&format!("{base}/jobs/{id}")).await,
@@ -110,7 +110,7 @@
         Command::Host => client.get(&format!("{base}/host")).await,
         Command::Cancel(id) => client.delete(&format!("{base}/jobs/{id}")).await.map(|()| Value::Null),
         Command::Submit(id, file) => {
-            let body = read(file).map_err(|fault| web::Fault::NotSent(format!("{fault:#}")))?;
+            let body = read(file).map_err(|fault| web::ClientError::NotSent(format!("{fault:#}")))?;
             client.put(&format!("{base}/jobs/{id}"), &body).await.map(|()| Value::Null)
         }
     }
--- a/bins/walkhookd/examples/cell/processes.rs
+++ b/bins/walkhookd/examples/cell/processes.rs
@@ -9,7 +9,7 @@
 use anyhow::{Context, Result, bail, ensure};
 use api::{Outcome, Status};
 use model::Resources;
-use store::{Host, Kind};
+use store::{Host, HostKind};
 use uuid::Uuid;
 
 const KEY: &str = "the shared key of the example cell";
@@ -106,7 +106,7 @@
                 self.until_open(address).await?;
                 let host = Host {
                     name,
-                    kind: Kind::Worker,
+                    kind: HostKind::Worker,
                     data_centre: data_centre.to_owned(),
                     rack: format!("rack-{}", number % 2),
                     address,
--- a/bins/walkhookd/tests/callers.rs
+++ b/bins/walkhookd/tests/callers.rs
@@ -370,7 +370,7 @@
     let command = api::Command { statement: "show hosts".to_owned(), command: Uuid::new_v4(), plan: None };
     let url = format!("http://{}/v1/statements", cell.hosts[0].operators);
     let refused = http.post::<_, api::Outcome>(&url, &command).await;
-    assert!(matches!(refused, Err(web::Fault::Status { status, .. }) if status.as_u16() == 401), "{refused:?}");
+    assert!(matches!(refused, Err(web::ClientError::Status { status, .. }) if status.as_u16() == 401), "{refused:?}");
     let answer = raw(
         cell.hosts[0].relay,
         b"GET /slots/1 HTTP/1.1\r\nhost: a\r\nconnection: close\r\nx-walkhook-hops: 1\r\n\r\n",
--- a/bins/walkhookd/tests/support/mod.rs
+++ b/bins/walkhookd/tests/support/mod.rs
@@ -21,7 +21,7 @@
 use model::task::Id;
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
-use store::{Host, Kind};
+use store::{Host, HostKind};
 use tempfile::TempDir;
 use uuid::Uuid;
 
@@ -361,7 +361,7 @@
 ) -> Host {
     Host {
         name: name.to_owned(),
-        kind: Kind::Worker,
+        kind: HostKind::Worker,
         data_centre: data_centre.to_owned(),
         rack: format!("rack-{}", number % 2),
         address,
--- a/components/entry/src/election.rs
+++ b/components/entry/src/election.rs
@@ -129,7 +129,7 @@
     }
     if let Role::Following(current, link) = host.role()
         && current == leader
-        && !link.is_down()
+        && !link.is_closed()
     {
         return;
     }
@@ -218,7 +218,7 @@
     let mut differed = false;
     while missed < PINGS_MISSED {
         tokio::select! {
-            () = link.down() => break,
+            () = link.closed() => break,
             () = tokio::time::sleep(pause) => {}
         }
         let sent = host.started.elapsed();
@@ -281,7 +281,7 @@
     match host.role() {
         Role::Leading(reign) => reign.restore_record(),
         Role::Following(_, link) => {
-            let silent = link.silence() > LINK_SILENCE;
+            let silent = link.time_since_last_frame() > LINK_SILENCE;
             if silent || link.call(Call::Missing, PING).await != Ok(Answer::Done) {
                 claim_if_free(host, record, Before::Unknown).await;
             }
--- a/components/entry/src/host.rs
+++ b/components/entry/src/host.rs
@@ -114,7 +114,7 @@
 impl Follower {
     /// Whether it can be asked now.
     fn is_live(&self) -> bool {
-        self.link.silence() < FOLLOWER_SILENCE
+        self.link.time_since_last_frame() < FOLLOWER_SILENCE
     }
 }
 
@@ -301,9 +301,9 @@
         let mut followers = self.followers.lock();
         followers
             .values()
-            .filter(|follower| follower.link.silence() > FOLLOWER_GONE)
+            .filter(|follower| follower.link.time_since_last_frame() > FOLLOWER_GONE)
             .for_each(|gone| gone.link.close());
-        followers.retain(|_, follower| !follower.link.is_down());
+        followers.retain(|_, follower| !follower.link.is_closed());
         followers.values().filter(|follower| follower.is_live()).cloned().collect()
     }
 
@@ -342,7 +342,7 @@
                 Role::Leading(reign) => Some(reign.answer(call.clone()).await),
                 Role::Following(_, link) => {
                     let outcome = link.call(call.clone(), left.min(patience(&call))).await;
-                    sent |= outcome != Err(link::Fault::Down);
+                    sent |= outcome != Err(link::CallError::Down);
                     outcome.ok()
                 }
             };
--- a/components/entry/src/reign/ask.rs
+++ b/components/entry/src/reign/ask.rs
@@ -68,7 +68,7 @@
     fn is_up(&self) -> bool {
         match self {
             Asker::Own(_) => true,
-            Asker::Other(_, link) => !link.is_down(),
+            Asker::Other(_, link) => !link.is_closed(),
         }
     }
 }
--- a/components/fakes/src/platform.rs
+++ b/components/fakes/src/platform.rs
@@ -16,7 +16,7 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use store::gateway::{
-    Base64, Failure, Header, KeyValue, LeaseRequest, LeaseResponse, Number, Operation, RangeRequest, RangeResponse,
+    Base64, ErrorBody, Header, KeyValue, LeaseRequest, LeaseResponse, Number, Operation, RangeRequest, RangeResponse,
     TxnRequest, TxnResponse, WatchEvent, WatchLine, WatchRequest, WatchResult,
 };
 use store::{Host, List};
@@ -277,7 +277,7 @@
 }
 
 fn refuse(status: StatusCode, message: &str) -> Response<Body> {
-    web::json(status, &Failure { code: 3, message: message.to_owned(), rest: BTreeMap::new() })
+    web::json(status, &ErrorBody { code: 3, message: message.to_owned(), rest: BTreeMap::new() })
 }
 
 async fn read<T: DeserializeOwned>(request: Request<Incoming>) -> Option<T> {
--- a/components/gateway/src/accept.rs
+++ b/components/gateway/src/accept.rs
@@ -15,7 +15,7 @@
 
 use crate::dispatch::{Dispatched, dispatch, pass_on};
 use crate::relay::{DEADLINE, MOST_HOPS, Relayed};
-use crate::state::{Gateway, Neighbour};
+use crate::state::{Gateway, RelayHost};
 use crate::{answer, body, keyed};
 
 /// Where the balancer asks whether to send requests here.
@@ -155,12 +155,12 @@
 }
 
 /// Hosts of other data centres that take requests, the own one left out.
-fn hosts_elsewhere(gateway: &Gateway) -> Vec<Neighbour> {
+fn hosts_elsewhere(gateway: &Gateway) -> Vec<RelayHost> {
     let topology = gateway.topology.read();
-    let mut hosts: Vec<Neighbour> = topology
-        .neighbours
+    let mut hosts: Vec<RelayHost> = topology
+        .relay_hosts
         .iter()
-        .filter(|neighbour| neighbour.live && neighbour.data_centre != gateway.data_centre)
+        .filter(|host| host.serving && host.data_centre != gateway.data_centre)
         .cloned()
         .collect();
     drop(topology);
@@ -181,9 +181,9 @@
 }
 
 /// Hosts of a data centre that take requests.
-pub(crate) fn hosts_in(gateway: &Gateway, data_centre: &DataCentreId) -> Vec<Neighbour> {
+pub(crate) fn hosts_in(gateway: &Gateway, data_centre: &DataCentreId) -> Vec<RelayHost> {
     let mut hosts = hosts_elsewhere(gateway);
-    hosts.retain(|neighbour| neighbour.data_centre == *data_centre);
+    hosts.retain(|host| host.data_centre == *data_centre);
     hosts
 }
 
--- a/components/gateway/src/handover.rs
+++ b/components/gateway/src/handover.rs
@@ -9,29 +9,29 @@
 use member::highest_ranked;
 use model::HostId;
 use request::IdempotencyKey;
-use wire::{Remembered, RememberedAnswer};
+use wire::{RememberedAnswer, RememberedKey};
 
 use crate::keyed::Stored;
 use crate::state::{Gateway, SKEW};
 
 impl Gateway {
     /// All keys that this host remembers, by the host that is their home once this one has gone.
-    pub fn keys_to_hand_over(&self) -> BTreeMap<HostId, Vec<Remembered>> {
+    pub fn keys_to_hand_over(&self) -> BTreeMap<HostId, Vec<RememberedKey>> {
         let homes = self.home.lock().hosts().to_vec();
-        let mut sorted: BTreeMap<HostId, Vec<Remembered>> =
+        let mut sorted: BTreeMap<HostId, Vec<RememberedKey>> =
             homes.iter().map(|host| (host.clone(), Vec::new())).collect();
         for shard in self.keys.shards() {
             for (key, answer) in shard.lock().memory.ended() {
                 let Some(home) = highest_ranked(&key, homes.iter().map(String::as_str)) else { continue };
                 let answer = answer.map(|stored| pack(stored));
-                sorted.entry(home.to_owned()).or_default().push(Remembered { key, answer });
+                sorted.entry(home.to_owned()).or_default().push(RememberedKey { key, answer });
             }
         }
         sorted
     }
 
     /// Takes in keys of a host that stops. False when there is no room for one of them.
-    pub fn take_keys(&self, keys: &[Remembered]) -> bool {
+    pub fn restore_keys(&self, keys: &[RememberedKey]) -> bool {
         let now = SystemTime::now();
         keys.iter().all(|remembered| {
             let Ok(key) = IdempotencyKey::parse(&remembered.key, SKEW, now) else { return false };
@@ -45,7 +45,7 @@
     }
 
     /// Takes in that a host has handed all its keys over.
-    pub fn handed_over(&self, from: HostId) {
+    pub fn record_handover(&self, from: HostId) {
         self.home.lock().record_handover(from, SystemTime::now());
     }
 }
--- a/components/gateway/src/keyed.rs
+++ b/components/gateway/src/keyed.rs
@@ -184,8 +184,8 @@
     if !may_relay(checked.source) {
         return asked_again("entry hosts disagree on the home of the key");
     }
-    let neighbours = gateway.topology.read().neighbours.clone();
-    let Some(home) = neighbours.into_iter().find(|neighbour| neighbour.host == host) else {
+    let relay_hosts = gateway.topology.read().relay_hosts.clone();
+    let Some(home) = relay_hosts.into_iter().find(|neighbour| neighbour.host == host) else {
         return asked_again("the key's home host can't be reached");
     };
     pass(gateway, checked, home.relay).await
--- a/components/gateway/src/lib.rs
+++ b/components/gateway/src/lib.rs
@@ -15,4 +15,4 @@
 mod service;
 mod state;
 
-pub use state::{Gateway, Line, Neighbour, Topology};
+pub use state::{ClassStats, Gateway, RelayHost, Topology};
--- a/components/gateway/src/state.rs
+++ b/components/gateway/src/state.rs
@@ -28,7 +28,7 @@
 
 /// Another entry host that requests can be relayed to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Neighbour {
+pub struct RelayHost {
     /// Its name.
     pub host: HostId,
     /// Its data centre.
@@ -36,25 +36,25 @@
     /// Where it takes relayed requests.
     pub relay: SocketAddr,
     /// Whether it takes new requests.
-    pub live: bool,
+    pub serving: bool,
 }
 
 /// The hosts as seen now.
 #[derive(Clone, Debug, Default)]
 pub struct Topology {
     /// Hosts of the own data centre that share the slots of its instances.
-    pub hosts: Vec<HostId>,
+    pub slot_hosts: Vec<HostId>,
     /// Hosts of the own data centre among which the keys are divided.
-    pub homes: Vec<HostId>,
+    pub key_owners: Vec<HostId>,
     /// Other hosts that can be reached.
-    pub neighbours: Vec<Neighbour>,
+    pub relay_hosts: Vec<RelayHost>,
     /// Whether a quorum of the own data centre has heard this host lately.
-    pub certain: bool,
+    pub has_quorum: bool,
 }
 
 /// How a class of requests fares here.
 #[derive(Clone, Debug)]
-pub struct Line {
+pub struct ClassStats {
     /// The class.
     pub class: ClassId,
     /// Requests answered by a backend server.
@@ -141,21 +141,21 @@
     pub fn update_hosts(&self, topology: Topology) {
         let now = Instant::now();
         for service in self.services.values() {
-            service.update_hosts(&topology.hosts, now);
+            service.update_hosts(&topology.slot_hosts, now);
         }
         {
             let mut home = self.home.lock();
             let wall = SystemTime::now();
-            home.update_hosts(topology.homes.clone(), wall);
-            if home.update_quorum(topology.certain, wall) && !topology.certain {
+            home.update_hosts(topology.key_owners.clone(), wall);
+            if home.update_quorum(topology.has_quorum, wall) && !topology.has_quorum {
                 events::emit!(self.log, events::KEYS_UNCERTAIN);
             }
         }
-        self.note_settled(&topology.hosts, now);
+        self.note_settled(&topology.slot_hosts, now);
         *self.topology.write() = topology;
     }
 
-    /// A host that just started has no share of the slots until its neighbours can have seen it.
+    /// A host that just started has no share of the slots until the other hosts can have seen it.
     fn note_settled(&self, hosts: &[HostId], now: Instant) {
         let mut settled = self.settled.lock();
         if settled.0 != hosts {
@@ -181,12 +181,12 @@
     }
 
     /// Answers a request that a caller sent to this host.
-    pub async fn from_caller(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
+    pub async fn handle_caller_request(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
         crate::accept::answer(&self, request, Source::Caller).await
     }
 
     /// Answers a request that another entry host relayed.
-    pub async fn from_host(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
+    pub async fn handle_relayed_request(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
         match self.relay.hops(&request) {
             Some(hops) => crate::accept::answer(&self, request, Source::Host(hops)).await,
             None => crate::answer::bad(http::StatusCode::UNAUTHORIZED, "relayed requests need the cell's shared key"),
@@ -194,12 +194,12 @@
     }
 
     /// How each class fares.
-    pub fn lines(&self) -> Vec<Line> {
+    pub fn class_stats(&self) -> Vec<ClassStats> {
         let mut lines = Vec::with_capacity(self.classes.len());
         for (class, counts) in self.classes.iter().zip(&self.counts) {
             let (waiting, (slots, in_use)) =
                 self.services.get(&class.service).map_or((0, (0, 0)), |service| service.load());
-            lines.push(Line {
+            lines.push(ClassStats {
                 class: class.name.clone(),
                 answered: counts.answered.load(Ordering::Relaxed),
                 not_run: counts.not_run.load(Ordering::Relaxed),
--- a/components/link/src/lib.rs
+++ b/components/link/src/lib.rs
@@ -31,7 +31,7 @@
 
 /// Why a call brought no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Fault {
+pub enum CallError {
     /// The link was down before the call was sent.
     #[error("the link is down")]
     Down,
@@ -58,7 +58,7 @@
     heard: Mutex<Instant>,
     /// Set once, when the connection has ended.
     down: AtomicBool,
-    closed: Notify,
+    close_notify: Notify,
     calls: PhantomData<fn(Q)>,
 }
 
@@ -80,7 +80,7 @@
             next: AtomicU64::new(0),
             heard: Mutex::new(Instant::now()),
             down: AtomicBool::new(false),
-            closed: Notify::new(),
+            close_notify: Notify::new(),
             calls: PhantomData,
         });
         tokio::spawn(run(link.clone(), stream, receiver, handler));
@@ -88,49 +88,49 @@
     }
 
     /// Asks the other side. Waits for the answer at most `timeout`.
-    pub async fn call(&self, call: Q, timeout: Duration) -> Result<A, Fault> {
-        if self.is_down() {
-            return Err(Fault::Down);
+    pub async fn call(&self, call: Q, timeout: Duration) -> Result<A, CallError> {
+        if self.is_closed() {
+            return Err(CallError::Down);
         }
         let number = self.next.fetch_add(1, Ordering::Relaxed);
-        let bytes = encode(&Frame::<Q, A>::Call(number, call)).ok_or(Fault::Down)?;
+        let bytes = encode(&Frame::<Q, A>::Call(number, call)).ok_or(CallError::Down)?;
         let (answer, answered) = oneshot::channel();
         self.waiting.lock().insert(number, answer);
         if self.sender.send(bytes).await.is_err() {
             self.waiting.lock().remove(&number);
-            return Err(Fault::Down);
+            return Err(CallError::Down);
         }
         // Closing fails all that wait; a call that came in between must not wait for ever.
-        if self.is_down() {
+        if self.is_closed() {
             self.waiting.lock().remove(&number);
-            return Err(Fault::Unanswered);
+            return Err(CallError::Unanswered);
         }
         let outcome = tokio::time::timeout(timeout, answered).await;
         self.waiting.lock().remove(&number);
         match outcome {
             Ok(Ok(answer)) => Ok(answer),
-            _ => Err(Fault::Unanswered),
+            _ => Err(CallError::Unanswered),
         }
     }
 
     /// Whether the connection has ended.
-    pub fn is_down(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         self.down.load(Ordering::Acquire)
     }
 
     /// How long nothing has come in: a host that was cut off or removed ends no connection.
-    pub fn silence(&self) -> Duration {
+    pub fn time_since_last_frame(&self) -> Duration {
         self.heard.lock().elapsed()
     }
 
     /// Waits until the connection has ended.
-    pub async fn down(&self) {
+    pub async fn closed(&self) {
         loop {
-            let closed = self.closed.notified();
-            if self.is_down() {
+            let notified = self.close_notify.notified();
+            if self.is_closed() {
                 return;
             }
-            closed.await;
+            notified.await;
         }
     }
 
@@ -138,7 +138,7 @@
     pub fn close(&self) {
         self.down.store(true, Ordering::Release);
         self.waiting.lock().clear();
-        self.closed.notify_waiters();
+        self.close_notify.notify_waiters();
     }
 }
 
@@ -161,7 +161,7 @@
     tokio::select! {
         () = write(receiver, sink) => {}
         () = read(&link, source, handler) => {}
-        () = link.down() => {}
+        () = link.closed() => {}
     }
     link.close();
 }
--- a/components/link/tests/link.rs
+++ b/components/link/tests/link.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use link::{Fault, Link};
+use link::{CallError, Link};
 use tokio::net::{TcpListener, TcpStream};
 
 type Numbers = Link<u32, u32>;
@@ -64,9 +64,9 @@
         tokio::spawn(async move { near.call(1, PATIENCE).await })
     };
     drop(far);
-    assert!(matches!(call.await.expect("the task ends"), Err(Fault::Unanswered | Fault::Down)));
-    near.down().await;
-    assert_eq!(near.call(2, PATIENCE).await, Err(Fault::Down));
+    assert!(matches!(call.await.expect("the task ends"), Err(CallError::Unanswered | CallError::Down)));
+    near.closed().await;
+    assert_eq!(near.call(2, PATIENCE).await, Err(CallError::Down));
 }
 
 #[tokio::test]
@@ -75,8 +75,8 @@
     let near = adding(near, 0);
     tokio::time::pause();
     tokio::time::advance(Duration::from_secs(3)).await;
-    assert!(near.silence() >= Duration::from_secs(3));
-    assert!(!near.is_down(), "a silent connection looks open");
+    assert!(near.time_since_last_frame() >= Duration::from_secs(3));
+    assert!(!near.is_closed(), "a silent connection looks open");
 }
 
 #[tokio::test]
@@ -85,6 +85,6 @@
     let (near, mut far) = streams().await;
     let near = adding(near, 0);
     far.write_all(&[0, 0, 0, 2, 250, 250]).await.expect("written");
-    near.down().await;
-    assert!(near.is_down());
+    near.closed().await;
+    assert!(near.is_closed());
 }
--- a/components/node/src/answer.rs
+++ b/components/node/src/answer.rs
@@ -41,11 +41,11 @@
             Err(reason) => Answer::Refused(reason),
         },
         Request::Keys { from, keys, last } => {
-            if !shared.gateway.take_keys(&keys) {
+            if !shared.gateway.restore_keys(&keys) {
                 return Answer::Refused("no room to remember the keys".to_owned());
             }
             if last {
-                shared.gateway.handed_over(from);
+                shared.gateway.record_handover(from);
             }
             Answer::Done
         }
--- a/components/node/src/claims.rs
+++ b/components/node/src/claims.rs
@@ -9,7 +9,7 @@
 use member::{HostState, Presence};
 use model::workload::partition;
 use model::{Partition, Revision};
-use store::{Compare, Put, Txn, Use};
+use store::{Compare, Purpose, Put, Txn};
 use uuid::Uuid;
 
 use crate::keys::{self, RecordKey};
@@ -102,7 +102,7 @@
 /// transaction failed.
 async fn write_claims(shared: &Arc<Shared>, claims: &[(Partition, Claim)]) -> bool {
     let txn = claims_txn(shared, claims);
-    let outcome = shared.store.txn(Use::Claims, &txn).await;
+    let outcome = shared.store.txn(Purpose::Claims, &txn).await;
     shared.record_platform_result(&outcome);
     match outcome {
         Ok(outcome) if outcome.succeeded => {
@@ -114,7 +114,7 @@
         Ok(_) => false,
         Err(error) => {
             events::emit!(shared.log, events::PLATFORM_FAILED, "call" => "claim", "why" => error.to_string());
-            if error.may_have_happened() {
+            if error.may_have_taken_effect() {
                 read_back(shared, claims).await;
             }
             // Not retried here: the next tick acts on what the platform has recorded.
@@ -142,7 +142,7 @@
     let prefix = keys::cell_prefix(&shared.settings.cell);
     for (number, claim) in claims {
         let key = format!("{prefix}{}", RecordKey::Claim(shared.data_centre().clone(), *number).key());
-        let Ok(entry) = shared.store.get(Use::Claims, &key).await else { continue };
+        let Ok(entry) = shared.store.get(Purpose::Claims, &key).await else { continue };
         let recorded: Option<Claim> = keys::decode(&entry.value).ok();
         if recorded.is_some_and(|recorded| recorded.change == claim.change) {
             open_partition(shared, *number, claim, entry.mod_revision).await;
@@ -201,6 +201,6 @@
     if to_release.is_empty() {
         return;
     }
-    let outcome = shared.store.txn(Use::Claims, &claims_txn(shared, &to_release)).await;
+    let outcome = shared.store.txn(Purpose::Claims, &claims_txn(shared, &to_release)).await;
     shared.record_platform_result(&outcome);
 }
--- a/components/node/src/commands.rs
+++ b/components/node/src/commands.rs
@@ -11,7 +11,7 @@
 use place::{Worker, WorkerTable};
 use query::{Assignment, Statement, Subject};
 use serde::Deserialize;
-use store::Use;
+use store::Purpose;
 
 use crate::commit::{Change, CommitOutcome, resolve_outcome};
 use crate::keys::{self, Drain, Receipt, RecordKey, Team};
@@ -56,7 +56,7 @@
         return;
     }
     let key = format!("{}{}", keys::cell_prefix(&shared.settings.cell), RecordKey::Workload(name.clone()).key());
-    if let Ok(entry) = shared.store.get(Use::Acceptance, &key).await {
+    if let Ok(entry) = shared.store.get(Purpose::Acceptance, &key).await {
         shared.configuration.wait_for_revision(entry.mod_revision, CONFIGURATION_TIMEOUT).await;
     }
 }
@@ -109,7 +109,7 @@
     let prefix = keys::cell_prefix(&shared.settings.cell);
     for (record_key, expected) in &change.expects {
         let key = format!("{prefix}{}", record_key.key());
-        let Ok(entry) = shared.store.get(Use::Acceptance, &key).await else { break };
+        let Ok(entry) = shared.store.get(Purpose::Acceptance, &key).await else { break };
         if entry.mod_revision == *expected {
             continue;
         }
--- a/components/node/src/commit.rs
+++ b/components/node/src/commit.rs
@@ -11,7 +11,7 @@
 use model::workload::Progress;
 use model::{CommandId, Partition, Revision, WorkloadId};
 use parking_lot::Mutex;
-use store::{Compare, Fault, Lease, Put, Txn, Use};
+use store::{Compare, Lease, Purpose, Put, StoreError, Txn};
 use tokio::sync::{mpsc, oneshot};
 use wire::StopOrder;
 
@@ -162,17 +162,17 @@
         Err(error) => return CommitOutcome::NotDone(error.to_string()),
     };
     let txn = transaction(&shared.settings.cell, changes, lease);
-    let outcome = shared.store.txn(Use::Acceptance, &txn).await;
+    let outcome = shared.store.txn(Purpose::Acceptance, &txn).await;
     shared.record_platform_result(&outcome);
     match outcome {
         Ok(outcome) if outcome.succeeded => CommitOutcome::Done(outcome.revision),
         Ok(_) => CommitOutcome::Conflict,
-        Err(Fault::Refused(reason)) => {
+        Err(StoreError::Refused(reason)) => {
             // The lease may have expired, so the next change requests a new one.
             *shared.committer.lease.lock() = None;
             CommitOutcome::NotDone(reason)
         }
-        Err(error) if error.may_have_happened() => CommitOutcome::Unknown(error.to_string()),
+        Err(error) if error.may_have_taken_effect() => CommitOutcome::Unknown(error.to_string()),
         Err(error) => CommitOutcome::NotDone(error.to_string()),
     }
 }
@@ -198,22 +198,22 @@
 
 /// Returns the lease that receipts are attached to. A new one is granted every hour, and receipts expire with
 /// their lease.
-async fn receipt_lease(shared: &Shared) -> Result<Lease, Fault> {
+async fn receipt_lease(shared: &Shared) -> Result<Lease, StoreError> {
     let now = Instant::now();
     if let Some((lease, since)) = *shared.committer.lease.lock()
         && now.duration_since(since) < RECEIPT_RETENTION
     {
         return Ok(lease);
     }
-    let granted = shared.store.grant(Use::Acceptance, RECEIPT_RETENTION * 2).await;
+    let granted = shared.store.grant(Purpose::Acceptance, RECEIPT_RETENTION * 2).await;
     shared.record_platform_result(&granted);
     let lease = granted?;
     *shared.committer.lease.lock() = Some((lease, now));
     Ok(lease)
 }
 
-async fn read_receipt(shared: &Shared, command: CommandId) -> Result<Option<Receipt>, Fault> {
-    let entry = shared.store.get(Use::Acceptance, &keys::receipt_key(&shared.settings.cell, command)).await;
+async fn read_receipt(shared: &Shared, command: CommandId) -> Result<Option<Receipt>, StoreError> {
+    let entry = shared.store.get(Purpose::Acceptance, &keys::receipt_key(&shared.settings.cell, command)).await;
     shared.record_platform_result(&entry);
     let entry = entry?;
     if entry.mod_revision == 0 {
@@ -237,7 +237,7 @@
 }
 
 /// Writes a receipt that says "not done", unless the command has a receipt already. Returns the existing one.
-async fn write_not_done_receipt(shared: &Shared, command: CommandId) -> Result<Option<Receipt>, Fault> {
+async fn write_not_done_receipt(shared: &Shared, command: CommandId) -> Result<Option<Receipt>, StoreError> {
     let lease = receipt_lease(shared).await?;
     let key = keys::receipt_key(&shared.settings.cell, command);
     let receipt = Receipt {
@@ -249,7 +249,7 @@
         puts: vec![Put { key, value: keys::encode(&receipt), lease }],
         deletes: Vec::new(),
     };
-    let outcome = shared.store.txn(Use::Acceptance, &txn).await;
+    let outcome = shared.store.txn(Purpose::Acceptance, &txn).await;
     shared.record_platform_result(&outcome);
     if outcome?.succeeded {
         return Ok(None);
@@ -309,7 +309,7 @@
             txn.compares.push(Compare { key: format!("{prefix}{}", claim.key()), mod_revision: revision });
         }
     }
-    let outcome = shared.store.txn(Use::Ends, &txn).await;
+    let outcome = shared.store.txn(Purpose::Ends, &txn).await;
     shared.record_platform_result(&outcome);
     matches!(outcome, Ok(outcome) if outcome.succeeded)
 }
--- a/components/node/src/configuration.rs
+++ b/components/node/src/configuration.rs
@@ -14,9 +14,9 @@
 use model::{DataCentreId, Partition, Revision, WorkerId, WorkloadId};
 use parking_lot::Mutex;
 use rand::Rng;
-use store::{Changes, Use};
+use store::{Purpose, WatchUpdate};
 use tokio::sync::{Notify, watch};
-use wire::{Answer, Entry, EntryKey, Request};
+use wire::{Answer, ConfigKey, ConfigValue, Request};
 
 use crate::keys::{self, RecordKey, Team};
 use crate::shared::Shared;
@@ -43,7 +43,7 @@
 
 #[derive(Default)]
 struct State {
-    board: Board<EntryKey, Entry>,
+    board: Board<ConfigKey, ConfigValue>,
     records: Records,
 }
 
@@ -72,17 +72,17 @@
         matches!(tokio::time::timeout(timeout, wait_for_revision).await, Ok(Ok(_)))
     }
 
-    pub(crate) fn delta(&self, since: Revision) -> Delta<EntryKey, Entry> {
+    pub(crate) fn delta(&self, since: Revision) -> Delta<ConfigKey, ConfigValue> {
         self.state.lock().board.delta(since)
     }
 
     /// Applies changes from the watch or from a peer. Returns what they affected, or `None` if they were not
     /// applied because they are not newer than what this host has or leave a gap after it.
-    fn apply(&self, delta: Delta<EntryKey, Entry>) -> Option<AppliedChanges> {
+    fn apply(&self, delta: Delta<ConfigKey, ConfigValue>) -> Option<AppliedChanges> {
         let mut guard = self.state.lock();
         let state = &mut *guard;
         let is_complete = delta.since == 0;
-        let mut keys: BTreeSet<EntryKey> = delta.items.iter().map(|(key, _, _)| key.clone()).collect();
+        let mut keys: BTreeSet<ConfigKey> = delta.items.iter().map(|(key, _, _)| key.clone()).collect();
         keys.extend(delta.removed.iter().map(|(key, _)| key.clone()));
         if is_complete {
             keys.extend(state.board.iter().map(|(key, _)| key.clone()));
@@ -128,7 +128,7 @@
     }
 
     /// All keys with their revisions and sizes.
-    pub(crate) fn keys(&self) -> Vec<(EntryKey, Revision, usize)> {
+    pub(crate) fn keys(&self) -> Vec<(ConfigKey, Revision, usize)> {
         let state = self.state.lock();
         let sized = state.board.iter().map(|(key, value)| (key.clone(), value.len()));
         sized.map(|(key, size)| (key.clone(), state.board.changed_at(&key).unwrap_or(0), size)).collect()
@@ -140,11 +140,11 @@
 struct AppliedChanges {
     workloads: Vec<WorkloadId>,
     drains: bool,
-    unreadable: Vec<(EntryKey, String)>,
+    unreadable: Vec<(ConfigKey, String)>,
 }
 
 /// Parses the record of one key again. If it can't be parsed, the last good record stays in force.
-fn update_record(state: &mut State, key: &EntryKey, applied: &mut AppliedChanges) {
+fn update_record(state: &mut State, key: &ConfigKey, applied: &mut AppliedChanges) {
     let Some(record_key) = RecordKey::parse(key) else { return };
     let value = state.board.get(key);
     let revision = state.board.changed_at(key).unwrap_or(0);
@@ -180,7 +180,7 @@
 fn update_map<K: Ord, R: serde::de::DeserializeOwned, V>(
     map: &mut BTreeMap<K, V>,
     key: K,
-    value: Option<&Entry>,
+    value: Option<&ConfigValue>,
     read: impl Fn(R) -> V,
 ) -> Result<(), String> {
     match value {
@@ -225,7 +225,7 @@
         return false;
     }
     let from = shared.configuration.revision() + 1;
-    let opened = shared.store.watch(Use::Configuration, &prefix, from).await;
+    let opened = shared.store.watch(Purpose::Configuration, &prefix, from).await;
     shared.record_platform_result(&opened);
     let Ok(mut changes) = opened else {
         log_failure(shared, "watch", opened.err());
@@ -233,11 +233,11 @@
     };
     while should_watch(shared) {
         match tokio::time::timeout(WATCH_TIMEOUT, changes.recv()).await {
-            Ok(Some(Changes::Upto(events, revision))) => {
+            Ok(Some(WatchUpdate::Events(events, revision))) => {
                 shared.platform_reachable.store(true, std::sync::atomic::Ordering::Relaxed);
                 apply_events(shared, &prefix, events, revision);
             }
-            Ok(Some(Changes::Compacted)) => return read_all(shared, &prefix).await,
+            Ok(Some(WatchUpdate::Compacted)) => return read_all(shared, &prefix).await,
             Ok(None) | Err(_) => break,
         }
     }
@@ -262,7 +262,7 @@
 }
 
 async fn read_all(shared: &Arc<Shared>, prefix: &str) -> bool {
-    let range = shared.store.range(Use::Configuration, prefix).await;
+    let range = shared.store.range(Purpose::Configuration, prefix).await;
     shared.record_platform_result(&range);
     let Ok(range) = range else {
         log_failure(shared, "range", range.err());
@@ -278,13 +278,13 @@
     true
 }
 
-fn log_failure(shared: &Shared, call: &str, error: Option<store::Fault>) {
+fn log_failure(shared: &Shared, call: &str, error: Option<store::StoreError>) {
     let reason = error.map(|error| error.to_string()).unwrap_or_default();
     events::emit!(shared.log, events::PLATFORM_FAILED, "call" => call, "why" => reason);
 }
 
 /// Applies changes and notifies the modules that depend on them.
-fn apply_delta(shared: &Arc<Shared>, delta: Delta<EntryKey, Entry>) {
+fn apply_delta(shared: &Arc<Shared>, delta: Delta<ConfigKey, ConfigValue>) {
     let Some(applied) = shared.configuration.apply(delta) else { return };
     for (key, reason) in &applied.unreadable {
         events::emit!(shared.log, events::RECORD_UNREADABLE, "key" => key, "why" => reason);
--- a/components/node/src/held_workers.rs
+++ b/components/node/src/held_workers.rs
@@ -12,7 +12,7 @@
 use parking_lot::Mutex;
 use tokio::sync::Notify;
 use wire::{
-    Answer, Fact, FactKey, Inventoried, InventoryAnswer, Listed, ListedKind, Request, ReserveOrder, StartAnswer,
+    Answer, Fact, FactKey, HostKind, InventoryAnswer, InventoryItem, ListedHost, Request, ReserveOrder, StartAnswer,
     StartOrder, StopOrder,
 };
 use worker::{Batch, Client, Hold, Worker, WorkerError};
@@ -100,7 +100,7 @@
 }
 
 /// The workers that this host should hold but doesn't.
-fn workers_to_take_over(shared: &Shared) -> Vec<(WorkerId, Listed)> {
+fn workers_to_take_over(shared: &Shared) -> Vec<(WorkerId, ListedHost)> {
     if shared.membership.presence() != Presence::Serving {
         return Vec::new();
     }
@@ -142,7 +142,7 @@
     all_answered
 }
 
-async fn take_over(shared: Arc<Shared>, worker: WorkerId, listed: Listed) {
+async fn take_over(shared: Arc<Shared>, worker: WorkerId, listed: ListedHost) {
     let refused_epoch = shared.held_workers.refused_epochs.lock().get(&worker).copied().unwrap_or(0);
     let epoch = shared.facts.highest_epoch(&worker).max(refused_epoch) + 1;
     let client = Client::new(listed.address, CALL_TIMEOUT);
@@ -288,7 +288,7 @@
     });
     !unheard_members.any(|member| {
         let listed = shared.listing.get(&member.peer.host);
-        listed.is_none_or(|listed| listed.kind == ListedKind::Entry)
+        listed.is_none_or(|listed| listed.kind == HostKind::Entry)
             && !shared.listing.missing_for(&member.peer.host, limits.lease, now)
     })
 }
@@ -308,7 +308,7 @@
     crate::owner::observe(shared, changed);
 }
 
-fn is_leaving(shared: &Shared, worker: &WorkerId, listed: Option<&Listed>) -> bool {
+fn is_leaving(shared: &Shared, worker: &WorkerId, listed: Option<&ListedHost>) -> bool {
     listed.is_some_and(|listed| listed.leaving) || shared.configuration.is_drained(worker)
 }
 
@@ -336,7 +336,7 @@
         for (key, fact) in ledger.task_facts() {
             let (FactKey::Task(task, attempt), Fact::Task(fact)) = (key, fact) else { continue };
             if model::workload::partition(&task.workload, shared.settings.tasks.partitions) == partition {
-                tasks.push(Inventoried { task, attempt, fact });
+                tasks.push(InventoryItem { task, attempt, fact });
             }
         }
     }
--- a/components/node/src/listing.rs
+++ b/components/node/src/listing.rs
@@ -7,7 +7,7 @@
 
 use model::{HostId, WorkerId};
 use parking_lot::Mutex;
-use wire::{Answer, Listed, ListedKind, Request};
+use wire::{Answer, HostKind, ListedHost, Request};
 
 use crate::shared::Shared;
 
@@ -17,7 +17,7 @@
 #[derive(Default)]
 struct State {
     version: u64,
-    hosts: BTreeMap<HostId, Listed>,
+    hosts: BTreeMap<HostId, ListedHost>,
     /// When this host first noticed that a host is missing from the list.
     missing_since: HashMap<HostId, Instant>,
 }
@@ -33,18 +33,18 @@
         self.state.lock().version
     }
 
-    pub(crate) fn all(&self) -> (u64, Vec<(HostId, Listed)>) {
+    pub(crate) fn all(&self) -> (u64, Vec<(HostId, ListedHost)>) {
         let state = self.state.lock();
         (state.version, state.hosts.iter().map(|(name, host)| (name.clone(), host.clone())).collect())
     }
 
     /// Replaces the list, unless `version` is not newer. Returns whether the list was replaced.
-    fn replace(&self, version: u64, hosts: Vec<(HostId, Listed)>, now: Instant) -> bool {
+    fn replace(&self, version: u64, hosts: Vec<(HostId, ListedHost)>, now: Instant) -> bool {
         let mut state = self.state.lock();
         if version <= state.version {
             return false;
         }
-        let hosts: BTreeMap<HostId, Listed> = hosts.into_iter().collect();
+        let hosts: BTreeMap<HostId, ListedHost> = hosts.into_iter().collect();
         let missing: Vec<HostId> = state.hosts.keys().filter(|name| !hosts.contains_key(*name)).cloned().collect();
         for name in missing {
             state.missing_since.entry(name).or_insert(now);
@@ -55,22 +55,22 @@
         true
     }
 
-    pub(crate) fn get(&self, name: &str) -> Option<Listed> {
+    pub(crate) fn get(&self, name: &str) -> Option<ListedHost> {
         self.state.lock().hosts.get(name).cloned()
     }
 
     /// The workers of a data centre.
-    pub(crate) fn workers(&self, data_centre: &str) -> Vec<(WorkerId, Listed)> {
+    pub(crate) fn workers(&self, data_centre: &str) -> Vec<(WorkerId, ListedHost)> {
         let state = self.state.lock();
         let workers =
-            state.hosts.iter().filter(|(_, host)| host.kind == ListedKind::Worker && host.data_centre == data_centre);
+            state.hosts.iter().filter(|(_, host)| host.kind == HostKind::Worker && host.data_centre == data_centre);
         workers.map(|(name, host)| (name.clone(), host.clone())).collect()
     }
 
     /// The workers of all data centres.
-    pub(crate) fn all_workers(&self) -> Vec<(WorkerId, Listed)> {
+    pub(crate) fn all_workers(&self) -> Vec<(WorkerId, ListedHost)> {
         let state = self.state.lock();
-        let workers = state.hosts.iter().filter(|(_, host)| host.kind == ListedKind::Worker);
+        let workers = state.hosts.iter().filter(|(_, host)| host.kind == HostKind::Worker);
         workers.map(|(name, host)| (name.clone(), host.clone())).collect()
     }
 
@@ -111,12 +111,12 @@
     shared.listing.replace(list.version, hosts.collect(), Instant::now())
 }
 
-fn to_listed(host: store::Host) -> Listed {
+fn to_listed(host: store::Host) -> ListedHost {
     let kind = match host.kind {
-        store::Kind::Worker => ListedKind::Worker,
-        store::Kind::Entry => ListedKind::Entry,
+        store::HostKind::Worker => HostKind::Worker,
+        store::HostKind::Entry => HostKind::Entry,
     };
-    Listed {
+    ListedHost {
         kind,
         data_centre: host.data_centre,
         rack: host.rack,
--- a/components/node/src/recovery.rs
+++ b/components/node/src/recovery.rs
@@ -11,7 +11,7 @@
 use model::task::Id;
 use model::workload::Record;
 use model::{Partition, WorkerId, WorkloadId};
-use store::Use;
+use store::Purpose;
 use wire::{Answer, InventoryAnswer, Request};
 
 use crate::claims::drop_partition;
@@ -49,7 +49,7 @@
 async fn confirm_claim(shared: &Arc<Shared>, number: Partition, epoch: u64) -> bool {
     let record_key = RecordKey::Claim(shared.data_centre().clone(), number);
     let key = format!("{}{}", keys::cell_prefix(&shared.settings.cell), record_key.key());
-    let read = shared.store.get(Use::Claims, &key).await;
+    let read = shared.store.get(Purpose::Claims, &key).await;
     shared.record_platform_result(&read);
     if let Ok(entry) = read {
         let claim: Option<Claim> = keys::decode(&entry.value).ok();
@@ -163,7 +163,7 @@
 /// Whether the platform has a record of this life of a workload. Returns true if it can't be reached.
 async fn is_recorded(shared: &Shared, workload: &str, life: u32) -> bool {
     let key = format!("{}{}", keys::cell_prefix(&shared.settings.cell), RecordKey::Workload(workload.to_owned()).key());
-    let read = shared.store.get(Use::Claims, &key).await;
+    let read = shared.store.get(Purpose::Claims, &key).await;
     shared.record_platform_result(&read);
     let Ok(entry) = read else { return true };
     let record: Option<Record> = keys::decode(&entry.value).ok();
--- a/components/node/src/services.rs
+++ b/components/node/src/services.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use gateway::{Neighbour, Topology};
+use gateway::{RelayHost, Topology};
 use model::WorkloadId;
 use request::Instance;
 use wire::TaskState;
@@ -46,19 +46,19 @@
 }
 
 fn topology(shared: &Shared) -> Topology {
-    let hosts = shared.membership.sharing_hosts();
-    let neighbours = shared.membership.reachable().into_iter().map(|member| Neighbour {
+    let slot_hosts = shared.membership.sharing_hosts();
+    let relay_hosts = shared.membership.reachable().into_iter().map(|member| RelayHost {
         host: member.peer.host.clone(),
         data_centre: member.peer.data_centre.clone(),
         relay: member.peer.relay,
-        live: shared.membership.state(&member.peer.host) == Some(member::HostState::Live),
+        serving: shared.membership.state(&member.peer.host) == Some(member::HostState::Live),
     });
     let (now, lease) = (Instant::now(), shared.settings.tasks.lease);
     let delisted = |host: &str| shared.listing.missing_for(host, lease, now);
     Topology {
-        hosts,
-        homes: shared.membership.responsible_hosts(delisted),
-        neighbours: neighbours.collect(),
-        certain: shared.membership.has_authority(delisted),
+        slot_hosts,
+        key_owners: shared.membership.responsible_hosts(delisted),
+        relay_hosts: relay_hosts.collect(),
+        has_quorum: shared.membership.has_authority(delisted),
     }
 }
--- a/components/node/src/shared.rs
+++ b/components/node/src/shared.rs
@@ -12,7 +12,7 @@
 use metrics::Metrics;
 use settings::Settings;
 use slog::Logger;
-use store::{Budget, Lister, Store};
+use store::{Budget, HostLister, Store};
 use tokio::sync::{Notify, watch};
 
 use crate::commit::Committer;
@@ -31,7 +31,7 @@
     /// This host with its present incarnation, as written into claims.
     pub(crate) owner: Owner,
     pub(crate) store: Arc<dyn Store>,
-    pub(crate) lister: Arc<dyn Lister>,
+    pub(crate) lister: Arc<dyn HostLister>,
     pub(crate) budget: Arc<Budget>,
     /// Whether the last call to the platform was answered.
     pub(crate) platform_reachable: AtomicBool,
@@ -68,13 +68,13 @@
         ledger::LeaseLimits { lease, margin: lease / 10 }
     }
 
-    pub(crate) fn record_platform_result<T>(&self, outcome: &Result<T, store::Fault>) {
+    pub(crate) fn record_platform_result<T>(&self, outcome: &Result<T, store::StoreError>) {
         match outcome {
-            Ok(_) | Err(store::Fault::Refused(_)) => self.platform_reachable.store(true, Ordering::Relaxed),
-            Err(store::Fault::NotSent(_) | store::Fault::Unknown(_)) => {
+            Ok(_) | Err(store::StoreError::Refused(_)) => self.platform_reachable.store(true, Ordering::Relaxed),
+            Err(store::StoreError::NotSent(_) | store::StoreError::Unknown(_)) => {
                 self.platform_reachable.store(false, Ordering::Relaxed);
             }
-            Err(store::Fault::OverBudget | store::Fault::TooLarge(..)) => {}
+            Err(store::StoreError::OverBudget | store::StoreError::TooLarge(..)) => {}
         }
     }
 
--- a/components/node/src/show.rs
+++ b/components/node/src/show.rs
@@ -257,7 +257,7 @@
 
 fn requests(shared: &Shared) -> Table {
     let mut table = Table::new(&["class", "host", "answered", "not_run", "unknown", "waiting", "slots", "in_use"]);
-    for line in shared.gateway.lines() {
+    for line in shared.gateway.class_stats() {
         table.rows.push(vec![
             line.class,
             shared.own.host.clone(),
--- a/components/node/src/start.rs
+++ b/components/node/src/start.rs
@@ -175,9 +175,9 @@
     let grace = shared.settings.stop_within;
     let connections = shared.settings.requests.connections as usize;
     let gateway = shared.gateway.clone();
-    let callers = move |request, _| gateway.clone().from_caller(request);
+    let callers = move |request, _| gateway.clone().handle_caller_request(request);
     let gateway = shared.gateway.clone();
-    let hosts = move |request, _| gateway.clone().from_host(request);
+    let hosts = move |request, _| gateway.clone().handle_relayed_request(request);
     let servers = vec![
         tokio::spawn(web::serve(sockets.callers, connections, stopped(&stop_serving), grace, callers)),
         tokio::spawn(web::serve(sockets.relay, RELAY_CONNECTIONS, stopped(&stop_serving), grace, hosts)),
--- a/components/node/src/sweep.rs
+++ b/components/node/src/sweep.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use model::{Partition, Revision, WorkloadId};
-use store::{Compare, Txn, Use};
+use store::{Compare, Purpose, Txn};
 
 use crate::keys::{self, RecordKey};
 use crate::shared::Shared;
@@ -34,7 +34,7 @@
     let Some((claim_revision, expired)) = expired_workloads else { return };
     for chunk in expired.chunks(MAX_WORKLOADS_PER_TXN) {
         let txn = removal_txn(shared, number, claim_revision, chunk);
-        let outcome = shared.store.txn(Use::Ends, &txn).await;
+        let outcome = shared.store.txn(Purpose::Ends, &txn).await;
         shared.record_platform_result(&outcome);
         if !matches!(outcome, Ok(outcome) if outcome.succeeded) {
             // A record was changed or the claim was lost; the next sweep retries if this host still owns the partition.
--- a/components/node/src/usage.rs
+++ b/components/node/src/usage.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use store::Use;
+use store::Purpose;
 
 use crate::shared::Shared;
 
@@ -14,7 +14,7 @@
 
 /// Updates the metrics until the process ends.
 pub(crate) async fn run(shared: Arc<Shared>) {
-    let mut previous_counts = [0; Use::ALL.len()];
+    let mut previous_counts = [0; Purpose::ALL.len()];
     loop {
         tokio::time::sleep(INTERVAL).await;
         if let Some(milliseconds) = cpu_milliseconds() {
@@ -24,7 +24,7 @@
             shared.metrics.resident_bytes.set(bytes as i64);
         }
         let counts = shared.budget.counts();
-        for (index, usage) in Use::ALL.into_iter().enumerate() {
+        for (index, usage) in Purpose::ALL.into_iter().enumerate() {
             let label = metrics::Usage { usage: usage.name() };
             shared.metrics.platform_calls.get_or_create(&label).inc_by(counts[index] - previous_counts[index]);
         }
--- a/components/store/src/etcd.rs
+++ b/components/store/src/etcd.rs
@@ -11,13 +11,13 @@
 use serde::de::DeserializeOwned;
 use tokio::sync::mpsc;
 
-use crate::budget::{Budget, Use};
+use crate::budget::{Budget, Purpose};
 use crate::gateway::{
     Base64, CompareRequest, DeleteRequest, Entry, Event, KeyValue, Lease, LeaseRequest, LeaseResponse, MAX_VALUE,
-    Number, Operation, Outcome, Put, PutRequest, Range, RangeRequest, RangeResponse, Txn, TxnRequest, TxnResponse,
+    Number, Operation, Put, PutRequest, Range, RangeRequest, RangeResponse, Txn, TxnOutcome, TxnRequest, TxnResponse,
     WatchCreate, WatchEvent, WatchLine, WatchRequest, range_end,
 };
-use crate::store::{Changes, Fault, Store};
+use crate::store::{Store, StoreError, WatchUpdate};
 
 const MAX_ANSWER: usize = 64 * 1024 * 1024;
 /// Longest line of a watch: a transaction of several large values.
@@ -38,62 +38,72 @@
         Client { http: web::Client::new(timeout, MAX_ANSWER), base: format!("http://{address}/v3"), budget }
     }
 
-    async fn call<Q: Serialize, A: DeserializeOwned>(&self, usage: Use, path: &str, body: &Q) -> Result<A, Fault> {
-        if !self.budget.take(usage, Instant::now()) {
-            return Err(Fault::OverBudget);
+    async fn call<Q: Serialize, A: DeserializeOwned>(
+        &self,
+        purpose: Purpose,
+        path: &str,
+        body: &Q,
+    ) -> Result<A, StoreError> {
+        if !self.budget.try_take(purpose, Instant::now()) {
+            return Err(StoreError::OverBudget);
         }
         self.http.post(&format!("{}{path}", self.base), body).await.map_err(from_web)
     }
 
-    async fn read(&self, usage: Use, request: &RangeRequest) -> Result<Range, Fault> {
-        let answer: RangeResponse = self.call(usage, "/kv/range", request).await?;
+    async fn read(&self, purpose: Purpose, request: &RangeRequest) -> Result<Range, StoreError> {
+        let answer: RangeResponse = self.call(purpose, "/kv/range", request).await?;
         Ok(Range { entries: answer.kvs.into_iter().map(entry).collect(), revision: answer.header.revision.0 })
     }
 }
 
 #[async_trait]
 impl Store for Client {
-    async fn range(&self, usage: Use, prefix: &str) -> Result<Range, Fault> {
+    async fn range(&self, purpose: Purpose, prefix: &str) -> Result<Range, StoreError> {
         let request = RangeRequest { key: Base64::text(prefix), range_end: Base64(range_end(prefix)) };
-        self.read(usage, &request).await
+        self.read(purpose, &request).await
     }
 
-    async fn get(&self, usage: Use, key: &str) -> Result<Entry, Fault> {
+    async fn get(&self, purpose: Purpose, key: &str) -> Result<Entry, StoreError> {
         let request = RangeRequest { key: Base64::text(key), range_end: Base64::default() };
-        let range = self.read(usage, &request).await?;
+        let range = self.read(purpose, &request).await?;
         let missing = Entry { key: key.to_owned(), value: Vec::new(), mod_revision: 0 };
         Ok(range.entries.into_iter().next().unwrap_or(missing))
     }
 
-    async fn txn(&self, usage: Use, txn: &Txn) -> Result<Outcome, Fault> {
+    async fn txn(&self, purpose: Purpose, txn: &Txn) -> Result<TxnOutcome, StoreError> {
         if let Some(put) = txn.puts.iter().find(|put| put.value.len() > MAX_VALUE) {
-            return Err(Fault::TooLarge(put.key.clone(), put.value.len()));
+            return Err(StoreError::TooLarge(put.key.clone(), put.value.len()));
         }
-        let answer: TxnResponse = self.call(usage, "/kv/txn", &encode(txn)).await?;
-        Ok(Outcome { succeeded: answer.succeeded, revision: answer.header.revision.0 })
+        let answer: TxnResponse = self.call(purpose, "/kv/txn", &encode(txn)).await?;
+        Ok(TxnOutcome { succeeded: answer.succeeded, revision: answer.header.revision.0 })
     }
 
-    async fn grant(&self, usage: Use, ttl: Duration) -> Result<Lease, Fault> {
+    async fn grant(&self, purpose: Purpose, ttl: Duration) -> Result<Lease, StoreError> {
         let request = LeaseRequest { ttl: Number(ttl.as_secs().max(1)), id: Number(0) };
-        let answer: LeaseResponse = self.call(usage, "/lease/grant", &request).await?;
+        let answer: LeaseResponse = self.call(purpose, "/lease/grant", &request).await?;
         Ok(answer.id.0)
     }
 
-    async fn keepalive(&self, usage: Use, lease: Lease) -> Result<bool, Fault> {
+    async fn keepalive(&self, purpose: Purpose, lease: Lease) -> Result<bool, StoreError> {
         let request = LeaseRequest { ttl: Number(0), id: Number(lease) };
-        let answer: LeaseResponse = self.call(usage, "/lease/keepalive", &request).await?;
+        let answer: LeaseResponse = self.call(purpose, "/lease/keepalive", &request).await?;
         Ok(answer.ttl.0 > 0)
     }
 
-    async fn revoke(&self, usage: Use, lease: Lease) -> Result<(), Fault> {
+    async fn revoke(&self, purpose: Purpose, lease: Lease) -> Result<(), StoreError> {
         let request = LeaseRequest { ttl: Number(0), id: Number(lease) };
-        let _: LeaseResponse = self.call(usage, "/lease/revoke", &request).await?;
+        let _: LeaseResponse = self.call(purpose, "/lease/revoke", &request).await?;
         Ok(())
     }
 
-    async fn watch(&self, usage: Use, prefix: &str, from: u64) -> Result<mpsc::Receiver<Changes>, Fault> {
-        if !self.budget.take(usage, Instant::now()) {
-            return Err(Fault::OverBudget);
+    async fn watch(
+        &self,
+        purpose: Purpose,
+        prefix: &str,
+        from: u64,
+    ) -> Result<mpsc::Receiver<WatchUpdate>, StoreError> {
+        if !self.budget.try_take(purpose, Instant::now()) {
+            return Err(StoreError::OverBudget);
         }
         let create = WatchCreate {
             key: Base64::text(prefix),
@@ -110,7 +120,7 @@
 }
 
 /// Splits the stream into lines and sends each as changes, until either side ends.
-async fn follow(mut body: Incoming, sender: mpsc::Sender<Changes>) {
+async fn follow(mut body: Incoming, sender: mpsc::Sender<WatchUpdate>) {
     let mut pending: Vec<u8> = Vec::new();
     loop {
         let frame = tokio::select! {
@@ -134,17 +144,17 @@
 }
 
 /// `None` when the line can't be read or says that the watch has ended.
-fn decode(line: &[u8]) -> Option<Changes> {
+fn decode(line: &[u8]) -> Option<WatchUpdate> {
     let line: WatchLine = serde_json::from_slice(line).ok()?;
     let result = line.result;
     if result.compact_revision.0 > 0 {
-        return Some(Changes::Compacted);
+        return Some(WatchUpdate::Compacted);
     }
     if result.canceled {
         return None;
     }
     let events = result.events.into_iter().map(event).collect();
-    Some(Changes::Upto(events, result.header.revision.0))
+    Some(WatchUpdate::Events(events, result.header.revision.0))
 }
 
 fn event(event: WatchEvent) -> Event {
@@ -181,10 +191,10 @@
 }
 
 /// A status of 4xx is the service's own refusal; any other fault after sending leaves the effect open.
-fn from_web(fault: web::Fault) -> Fault {
+fn from_web(fault: web::ClientError) -> StoreError {
     match fault {
-        web::Fault::NotSent(message) => Fault::NotSent(message),
-        web::Fault::Status { status, body } if status.is_client_error() => Fault::Refused(body),
-        other => Fault::Unknown(other.to_string()),
+        web::ClientError::NotSent(message) => StoreError::NotSent(message),
+        web::ClientError::Status { status, body } if status.is_client_error() => StoreError::Refused(body),
+        other => StoreError::Unknown(other.to_string()),
     }
 }
--- a/components/store/src/gateway.rs
+++ b/components/store/src/gateway.rs
@@ -64,7 +64,7 @@
 
 /// How a transaction went.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Outcome {
+pub struct TxnOutcome {
     /// Whether all compares held.
     pub succeeded: bool,
     /// The store's revision after it.
@@ -325,7 +325,7 @@
 /// An error body.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Failure {
+pub struct ErrorBody {
     /// gRPC status code.
     pub code: u32,
     /// Words.
--- a/components/store/src/lib.rs
+++ b/components/store/src/lib.rs
@@ -10,8 +10,8 @@
 mod list;
 mod store;
 
-pub use budget::{Budget, Counts, Use};
+pub use budget::{Budget, Counts, Purpose};
 pub use etcd::Client;
-pub use gateway::{Compare, Entry, Event, Lease, MAX_VALUE, Outcome, Put, Range, Txn};
-pub use list::{Host, Http as ListClient, Kind, List, Lister};
-pub use store::{Changes, Fault, Store};
+pub use gateway::{Compare, Entry, Event, Lease, MAX_VALUE, Put, Range, Txn, TxnOutcome};
+pub use list::{Host, HostKind, HostLister, List, ListClient};
+pub use store::{Store, StoreError, WatchUpdate};
--- a/components/store/src/list.rs
+++ b/components/store/src/list.rs
@@ -8,15 +8,15 @@
 use model::{DataCentreId, HostId, RackId, Resources};
 use serde::{Deserialize, Serialize};
 
-use crate::budget::{Budget, Use};
-use crate::store::Fault;
+use crate::budget::{Budget, Purpose};
+use crate::store::StoreError;
 
 const MAX_LIST: usize = 4 * 1024 * 1024;
 
 /// What a host of the list is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum HostKind {
     /// A worker.
     Worker,
     /// An entry host.
@@ -29,7 +29,7 @@
     /// Name.
     pub name: HostId,
     /// What it is.
-    pub kind: Kind,
+    pub kind: HostKind,
     /// Data centre.
     pub data_centre: DataCentreId,
     /// Rack.
@@ -55,31 +55,34 @@
 
 /// Reads the list. A trait, because the users' own platform may speak another dialect.
 #[async_trait]
-pub trait Lister: Send + Sync {
+pub trait HostLister: Send + Sync {
     /// The list as the platform has it now; without hosts when its version is still `known`.
-    async fn list(&self, known: u64) -> Result<List, Fault>;
+    async fn list(&self, known: u64) -> Result<List, StoreError>;
 }
 
 /// Reads the list by `GET /v1/hosts?known=VERSION` from the platform's address.
-pub struct Http {
+pub struct ListClient {
     http: web::Client,
     url: String,
     budget: Arc<Budget>,
 }
 
-impl Http {
+impl ListClient {
     /// Creates a reader; each call ends after `timeout` and takes from `budget`.
-    pub fn new(address: SocketAddr, timeout: Duration, budget: Arc<Budget>) -> Http {
-        Http { http: web::Client::new(timeout, MAX_LIST), url: format!("http://{address}/v1/hosts"), budget }
+    pub fn new(address: SocketAddr, timeout: Duration, budget: Arc<Budget>) -> ListClient {
+        ListClient { http: web::Client::new(timeout, MAX_LIST), url: format!("http://{address}/v1/hosts"), budget }
     }
 }
 
 #[async_trait]
-impl Lister for Http {
-    async fn list(&self, known: u64) -> Result<List, Fault> {
-        if !self.budget.take(Use::Hosts, Instant::now()) {
-            return Err(Fault::OverBudget);
+impl HostLister for ListClient {
+    async fn list(&self, known: u64) -> Result<List, StoreError> {
+        if !self.budget.try_take(Purpose::Hosts, Instant::now()) {
+            return Err(StoreError::OverBudget);
         }
-        self.http.get(&format!("{}?known={known}", self.url)).await.map_err(|fault| Fault::Unknown(fault.to_string()))
+        self.http
+            .get(&format!("{}?known={known}", self.url))
+            .await
+            .map_err(|fault| StoreError::Unknown(fault.to_string()))
     }
 }
--- a/components/store/src/store.rs
+++ b/components/store/src/store.rs
@@ -6,12 +6,12 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-use crate::budget::Use;
-use crate::gateway::{Event, Lease, Outcome, Range, Txn};
+use crate::budget::Purpose;
+use crate::gateway::{Event, Lease, Range, Txn, TxnOutcome};
 
 /// Why a call brought no outcome.
 #[derive(Clone, Debug, Error)]
-pub enum Fault {
+pub enum StoreError {
     /// The service surely did not get it.
     #[error("the platform can't be reached: {0}")]
     NotSent(String),
@@ -29,18 +29,18 @@
     TooLarge(String, usize),
 }
 
-impl Fault {
+impl StoreError {
     /// Whether the change may have taken effect.
-    pub fn may_have_happened(&self) -> bool {
-        matches!(self, Fault::Unknown(_))
+    pub fn may_have_taken_effect(&self) -> bool {
+        matches!(self, StoreError::Unknown(_))
     }
 }
 
 /// What a watch brings: changes up to and including a revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Changes {
+pub enum WatchUpdate {
     /// In order; complete up to the revision.
-    Upto(Vec<Event>, u64),
+    Events(Vec<Event>, u64),
     /// The wanted revision is no longer kept: read the whole range anew.
     Compacted,
 }
@@ -49,17 +49,18 @@
 #[async_trait]
 pub trait Store: Send + Sync {
     /// All keys with a prefix.
-    async fn range(&self, usage: Use, prefix: &str) -> Result<Range, Fault>;
+    async fn range(&self, purpose: Purpose, prefix: &str) -> Result<Range, StoreError>;
     /// One key; with revision 0 when it is not there.
-    async fn get(&self, usage: Use, key: &str) -> Result<crate::Entry, Fault>;
+    async fn get(&self, purpose: Purpose, key: &str) -> Result<crate::Entry, StoreError>;
     /// A transaction.
-    async fn txn(&self, usage: Use, txn: &Txn) -> Result<Outcome, Fault>;
+    async fn txn(&self, purpose: Purpose, txn: &Txn) -> Result<TxnOutcome, StoreError>;
     /// A lease.
-    async fn grant(&self, usage: Use, ttl: Duration) -> Result<Lease, Fault>;
+    async fn grant(&self, purpose: Purpose, ttl: Duration) -> Result<Lease, StoreError>;
     /// Prolongs a lease; false when it has lapsed.
-    async fn keepalive(&self, usage: Use, lease: Lease) -> Result<bool, Fault>;
+    async fn keepalive(&self, purpose: Purpose, lease: Lease) -> Result<bool, StoreError>;
     /// Ends a lease and all keys under it.
-    async fn revoke(&self, usage: Use, lease: Lease) -> Result<(), Fault>;
+    async fn revoke(&self, purpose: Purpose, lease: Lease) -> Result<(), StoreError>;
     /// Watches a prefix from a revision on. The channel closes when the watch ends.
-    async fn watch(&self, usage: Use, prefix: &str, from: u64) -> Result<mpsc::Receiver<Changes>, Fault>;
+    async fn watch(&self, purpose: Purpose, prefix: &str, from: u64)
+    -> Result<mpsc::Receiver<WatchUpdate>, StoreError>;
 }
--- a/components/web/src/client.rs
+++ b/components/web/src/client.rs
@@ -26,7 +26,7 @@
 
 /// Why a call brought no answer that can be used.
 #[derive(Debug, Error)]
-pub enum Fault {
+pub enum ClientError {
     /// No connection: the other side surely received nothing.
     #[error("not sent: {0}")]
     NotSent(String),
@@ -79,48 +79,54 @@
     }
 
     /// Sends `body` by POST and reads the JSON answer.
-    pub async fn post<Q: Serialize, A: DeserializeOwned>(&self, url: &str, body: &Q) -> Result<A, Fault> {
-        let bytes = serde_json::to_vec(body).map_err(|fault| Fault::NotSent(fault.to_string()))?;
+    pub async fn post<Q: Serialize, A: DeserializeOwned>(&self, url: &str, body: &Q) -> Result<A, ClientError> {
+        let bytes = serde_json::to_vec(body).map_err(|fault| ClientError::NotSent(fault.to_string()))?;
         self.call(Method::POST, url, Bytes::from(bytes)).await
     }
 
     /// Reads the JSON answer to a GET.
-    pub async fn get<A: DeserializeOwned>(&self, url: &str) -> Result<A, Fault> {
+    pub async fn get<A: DeserializeOwned>(&self, url: &str) -> Result<A, ClientError> {
         self.call(Method::GET, url, Bytes::new()).await
     }
 
     /// Sends a call and reads its whole answer, whatever the status, within `timeout`.
-    pub async fn ask(&self, request: Request<Full<Bytes>>, timeout: Duration) -> Result<(StatusCode, Bytes), Fault> {
+    pub async fn send(
+        &self,
+        request: Request<Full<Bytes>>,
+        timeout: Duration,
+    ) -> Result<(StatusCode, Bytes), ClientError> {
         let exchange = async {
             let answer = self.pool.request(request).await.map_err(from_pool)?;
             let status = answer.status();
             let limited = Limited::new(answer.into_body(), self.limit);
-            let bytes = limited.collect().await.map_err(|fault| Fault::Unknown(fault.to_string()))?.to_bytes();
+            let bytes = limited.collect().await.map_err(|fault| ClientError::Unknown(fault.to_string()))?.to_bytes();
             Ok((status, bytes))
         };
-        tokio::time::timeout(timeout, exchange).await.map_err(|_| Fault::Unknown(format!("none within {timeout:?}")))?
+        tokio::time::timeout(timeout, exchange)
+            .await
+            .map_err(|_| ClientError::Unknown(format!("none within {timeout:?}")))?
     }
 
     /// Sends `body` by PUT; the answer has no content.
-    pub async fn put<Q: Serialize>(&self, url: &str, body: &Q) -> Result<(), Fault> {
-        let bytes = serde_json::to_vec(body).map_err(|fault| Fault::NotSent(fault.to_string()))?;
+    pub async fn put<Q: Serialize>(&self, url: &str, body: &Q) -> Result<(), ClientError> {
+        let bytes = serde_json::to_vec(body).map_err(|fault| ClientError::NotSent(fault.to_string()))?;
         self.without_content(Method::PUT, url, Bytes::from(bytes)).await
     }
 
     /// Sends a DELETE; the answer has no content.
-    pub async fn delete(&self, url: &str) -> Result<(), Fault> {
+    pub async fn delete(&self, url: &str) -> Result<(), ClientError> {
         self.without_content(Method::DELETE, url, Bytes::new()).await
     }
 
-    async fn without_content(&self, method: Method, url: &str, body: Bytes) -> Result<(), Fault> {
-        let (status, bytes) = self.ask(request(method, url, body)?, self.timeout).await?;
+    async fn without_content(&self, method: Method, url: &str, body: Bytes) -> Result<(), ClientError> {
+        let (status, bytes) = self.send(request(method, url, body)?, self.timeout).await?;
         match status.is_success() {
             true => Ok(()),
-            false => Err(Fault::Status { status, body: String::from_utf8_lossy(&bytes).into_owned() }),
+            false => Err(ClientError::Status { status, body: String::from_utf8_lossy(&bytes).into_owned() }),
         }
     }
 
-    async fn call<A: DeserializeOwned>(&self, method: Method, url: &str, body: Bytes) -> Result<A, Fault> {
+    async fn call<A: DeserializeOwned>(&self, method: Method, url: &str, body: Bytes) -> Result<A, ClientError> {
         let mut request = request(method, url, body)?;
         if let Some(bearer) = &self.bearer {
             request.headers_mut().insert(http::header::AUTHORIZATION, bearer.clone());
@@ -128,49 +134,49 @@
         let exchange = self.exchange(request);
         let bytes = tokio::time::timeout(self.timeout, exchange)
             .await
-            .map_err(|_| Fault::Unknown(format!("none within {:?}", self.timeout)))??;
-        serde_json::from_slice(&bytes).map_err(|fault| Fault::Malformed(fault.to_string()))
+            .map_err(|_| ClientError::Unknown(format!("none within {:?}", self.timeout)))??;
+        serde_json::from_slice(&bytes).map_err(|fault| ClientError::Malformed(fault.to_string()))
     }
 
-    async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<Bytes, Fault> {
+    async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<Bytes, ClientError> {
         let answer = self.pool.request(request).await.map_err(from_pool)?;
         let status = answer.status();
         let limited = Limited::new(answer.into_body(), self.limit);
-        let bytes = limited.collect().await.map_err(|fault| Fault::Unknown(fault.to_string()))?.to_bytes();
+        let bytes = limited.collect().await.map_err(|fault| ClientError::Unknown(fault.to_string()))?.to_bytes();
         if !status.is_success() {
-            return Err(Fault::Status { status, body: String::from_utf8_lossy(&bytes).into_owned() });
+            return Err(ClientError::Status { status, body: String::from_utf8_lossy(&bytes).into_owned() });
         }
         Ok(bytes)
     }
 
     /// Opens a call whose answer is read piece by piece, without a limit on its time.
-    pub async fn stream<Q: Serialize>(&self, url: &str, body: &Q) -> Result<Incoming, Fault> {
-        let bytes = serde_json::to_vec(body).map_err(|fault| Fault::NotSent(fault.to_string()))?;
+    pub async fn stream<Q: Serialize>(&self, url: &str, body: &Q) -> Result<Incoming, ClientError> {
+        let bytes = serde_json::to_vec(body).map_err(|fault| ClientError::NotSent(fault.to_string()))?;
         let request = request(Method::POST, url, Bytes::from(bytes))?;
         let answer = tokio::time::timeout(self.timeout, self.pool.request(request))
             .await
-            .map_err(|_| Fault::Unknown(format!("none within {:?}", self.timeout)))?
+            .map_err(|_| ClientError::Unknown(format!("none within {:?}", self.timeout)))?
             .map_err(from_pool)?;
         if !answer.status().is_success() {
-            return Err(Fault::Status { status: answer.status(), body: String::new() });
+            return Err(ClientError::Status { status: answer.status(), body: String::new() });
         }
         Ok(answer.into_body())
     }
 }
 
 /// A request with a JSON body.
-pub fn request(method: Method, url: &str, body: Bytes) -> Result<Request<Full<Bytes>>, Fault> {
+pub fn request(method: Method, url: &str, body: Bytes) -> Result<Request<Full<Bytes>>, ClientError> {
     Request::builder()
         .method(method)
         .uri(url)
         .header(http::header::CONTENT_TYPE, "application/json")
         .body(Full::new(body))
-        .map_err(|fault| Fault::NotSent(fault.to_string()))
+        .map_err(|fault| ClientError::NotSent(fault.to_string()))
 }
 
-fn from_pool(fault: hyper_util::client::legacy::Error) -> Fault {
+fn from_pool(fault: hyper_util::client::legacy::Error) -> ClientError {
     if fault.is_connect() {
-        return Fault::NotSent(fault.to_string());
+        return ClientError::NotSent(fault.to_string());
     }
-    Fault::Unknown(fault.to_string())
+    ClientError::Unknown(fault.to_string())
 }
--- a/components/web/src/lib.rs
+++ b/components/web/src/lib.rs
@@ -7,5 +7,5 @@
 mod client;
 mod server;
 
-pub use client::{Client, Fault, request};
+pub use client::{Client, ClientError, request};
 pub use server::{Body, full, json, read_limited, serve};
--- a/components/web/tests/silent.rs
+++ b/components/web/tests/silent.rs
@@ -43,10 +43,10 @@
     let client = web::Client::new(PATIENCE, 1000);
     let ask = async || {
         let request = web::request(Method::GET, &format!("http://{address}/"), Bytes::new()).expect("a request");
-        client.ask(request, PATIENCE).await
+        client.send(request, PATIENCE).await
     };
     assert!(ask().await.is_ok());
-    assert!(matches!(ask().await, Err(web::Fault::Unknown(_))), "it may have been carried out");
+    assert!(matches!(ask().await, Err(web::ClientError::Unknown(_))), "it may have been carried out");
     assert!(ask().await.is_ok(), "the next call opens another connection");
     assert_eq!(connections.load(Ordering::Relaxed), 2);
 }
--- a/components/wire/src/frame.rs
+++ b/components/wire/src/frame.rs
@@ -6,7 +6,7 @@
 use serde::de::DeserializeOwned;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-use crate::seal::{Fault, Key, open, seal};
+use crate::seal::{Key, MessageError, open, seal};
 
 /// Largest frame accepted, in bytes.
 pub const MAX_FRAME: usize = 8 * 1024 * 1024;
@@ -15,7 +15,7 @@
 pub async fn write<T: Serialize>(stream: &mut (impl AsyncWrite + Unpin), key: &Key, message: &T) -> io::Result<usize> {
     let bytes = seal(key, message).map_err(refused)?;
     if bytes.len() > MAX_FRAME {
-        return Err(refused(Fault::Large));
+        return Err(refused(MessageError::Large));
     }
     let mut framed = Vec::with_capacity(4 + bytes.len());
     framed.extend_from_slice(&(bytes.len() as u32).to_be_bytes());
@@ -38,7 +38,7 @@
     }
     let length = u32::from_be_bytes(length) as usize;
     if length > MAX_FRAME {
-        return Err(refused(Fault::Large));
+        return Err(refused(MessageError::Large));
     }
     // Grows with what really arrives: a length alone reserves nothing.
     let mut bytes = Vec::new();
@@ -50,6 +50,6 @@
     Ok(Some((message, 4 + length)))
 }
 
-fn refused(fault: Fault) -> io::Error {
+fn refused(fault: MessageError) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, fault)
 }
--- a/components/wire/src/lib.rs
+++ b/components/wire/src/lib.rs
@@ -14,7 +14,8 @@
 
 pub use frame::{MAX_FRAME, read, write};
 pub use message::{
-    Answer, Entry, EntryKey, Fact, FactKey, Inventoried, InventoryAnswer, Listed, ListedKind, Remembered,
-    RememberedAnswer, Request, ReserveOrder, StartAnswer, StartOrder, StopOrder, TaskFact, TaskState, WorkerFact,
+    Answer, ConfigKey, ConfigValue, Fact, FactKey, HostKind, InventoryAnswer, InventoryItem, ListedHost,
+    RememberedAnswer, RememberedKey, Request, ReserveOrder, StartAnswer, StartOrder, StopOrder, TaskFact, TaskState,
+    WorkerFact,
 };
-pub use seal::{Fault, Key, MAX_DATAGRAM, open, seal};
+pub use seal::{Key, MAX_DATAGRAM, MessageError, open, seal};
--- a/components/wire/src/message.rs
+++ b/components/wire/src/message.rs
@@ -8,13 +8,13 @@
 use serde::{Deserialize, Serialize};
 
 /// A key of the configuration: the platform's key below the cell's prefix.
-pub type EntryKey = String;
+pub type ConfigKey = String;
 /// A value of the configuration, as it stands in the platform's key-value service.
-pub type Entry = Vec<u8>;
+pub type ConfigValue = Vec<u8>;
 
 /// What a line of the platform's list names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ListedKind {
+pub enum HostKind {
     /// A worker that runs tasks.
     Worker,
     /// An entry host.
@@ -23,9 +23,9 @@
 
 /// One line of the platform's lagging list of hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedHost {
     /// Worker or entry host.
-    pub kind: ListedKind,
+    pub kind: HostKind,
     /// Data centre.
     pub data_centre: DataCentreId,
     /// Rack.
@@ -179,12 +179,12 @@
     /// Workers held with a complete inventory, and the epochs of the holds.
     pub workers: Vec<(WorkerId, Epoch)>,
     /// Attempts at tasks of the partition.
-    pub tasks: Vec<Inventoried>,
+    pub tasks: Vec<InventoryItem>,
 }
 
 /// One attempt found by an inventory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Inventoried {
+pub struct InventoryItem {
     /// What.
     pub task: Id,
     /// Which attempt.
@@ -195,7 +195,7 @@
 
 /// What is remembered of an unrepeatable request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Remembered {
+pub struct RememberedKey {
     /// Its key.
     pub key: String,
     /// The answer; `None` when it is unknown whether it ran.
@@ -282,7 +282,7 @@
         /// The sender, which is stopping.
         from: HostId,
         /// The keys.
-        keys: Vec<Remembered>,
+        keys: Vec<RememberedKey>,
         /// Whether the asked host has got all of them with this.
         last: bool,
     },
@@ -292,11 +292,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
     /// To `Configuration`.
-    Configuration(Delta<EntryKey, Entry>),
+    Configuration(Delta<ConfigKey, ConfigValue>),
     /// To `Facts`.
     Facts(Delta<FactKey, Fact>),
     /// To `List`, when there is a newer one: its version and lines.
-    List(u64, Vec<(HostId, Listed)>),
+    List(u64, Vec<(HostId, ListedHost)>),
     /// To `Announce`.
     Inventory(InventoryAnswer),
     /// To `Epochs`.
--- a/components/wire/src/seal.rs
+++ b/components/wire/src/seal.rs
@@ -27,7 +27,7 @@
 
 /// Why a message was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Fault {
+pub enum MessageError {
     /// Too short to hold version and seal.
     #[error("message too short")]
     Short,
@@ -46,8 +46,8 @@
 }
 
 /// Encodes and seals a message.
-pub fn seal<T: Serialize>(key: &Key, message: &T) -> Result<Vec<u8>, Fault> {
-    let payload = postcard::to_stdvec(message).map_err(|_| Fault::Malformed)?;
+pub fn seal<T: Serialize>(key: &Key, message: &T) -> Result<Vec<u8>, MessageError> {
+    let payload = postcard::to_stdvec(message).map_err(|_| MessageError::Malformed)?;
     let mut bytes = Vec::with_capacity(HEAD + payload.len());
     bytes.push(VERSION);
     bytes.extend_from_slice(blake3::keyed_hash(&key.0, &payload).as_bytes());
@@ -56,19 +56,19 @@
 }
 
 /// Checks and decodes a message. The seal is compared in constant time.
-pub fn open<T: DeserializeOwned>(key: &Key, bytes: &[u8]) -> Result<T, Fault> {
+pub fn open<T: DeserializeOwned>(key: &Key, bytes: &[u8]) -> Result<T, MessageError> {
     if bytes.len() < HEAD {
-        return Err(Fault::Short);
+        return Err(MessageError::Short);
     }
     if bytes[0] != VERSION {
-        return Err(Fault::Version(bytes[0]));
+        return Err(MessageError::Version(bytes[0]));
     }
     let (head, payload) = bytes.split_at(HEAD);
     let mut claimed = [0; SEAL];
     claimed.copy_from_slice(&head[1..]);
     // `blake3::Hash` compares in constant time.
     if blake3::keyed_hash(&key.0, payload) != blake3::Hash::from_bytes(claimed) {
-        return Err(Fault::Seal);
+        return Err(MessageError::Seal);
     }
-    postcard::from_bytes(payload).map_err(|_| Fault::Malformed)
+    postcard::from_bytes(payload).map_err(|_| MessageError::Malformed)
 }
--- a/components/wire/tests/wire.rs
+++ b/components/wire/tests/wire.rs
@@ -4,7 +4,7 @@
 use model::Resources;
 use model::task::{Attempt, End, Id};
 use proptest::prelude::*;
-use wire::{Answer, Fact, FactKey, Fault, Key, Request, TaskFact, TaskState, open, read, seal, write};
+use wire::{Answer, Fact, FactKey, Key, MessageError, Request, TaskFact, TaskState, open, read, seal, write};
 
 fn key() -> Key {
     Key::new("a shared key of a test cell")
@@ -61,7 +61,7 @@
 #[test]
 fn another_cells_key_is_refused() {
     let sealed = seal(&Key::new("another"), &Request::Epochs).unwrap();
-    assert_eq!(open::<Request>(&key(), &sealed), Err(Fault::Seal));
+    assert_eq!(open::<Request>(&key(), &sealed), Err(MessageError::Seal));
 }
 
 #[tokio::test]
--- a/components/worker/src/client.rs
+++ b/components/worker/src/client.rs
@@ -59,10 +59,10 @@
     }
 }
 
-fn convert_error(error: web::Fault) -> WorkerError {
+fn convert_error(error: web::ClientError) -> WorkerError {
     match error {
-        web::Fault::NotSent(message) => WorkerError::NotSent(message),
-        web::Fault::Status { status, body } if status.as_u16() == CONFLICT => match serde_json::from_str(&body) {
+        web::ClientError::NotSent(message) => WorkerError::NotSent(message),
+        web::ClientError::Status { status, body } if status.as_u16() == CONFLICT => match serde_json::from_str(&body) {
             Ok(refusal) => WorkerError::Superseded(refusal),
             Err(_) => WorkerError::Unknown(format!("status 409 with an unreadable body: {body}")),
         },
