--- a/components/gateway/src/accept.rs
+++ b/components/gateway/src/accept.rs
@@ -1,4 +1,5 @@
-//! The beginning of a request's path: health, class, deadline, team, size; then by kind of class.
+//! Entry point of a request: health check, validation (class, deadline, team, size), then the path for its kind of
+//! class.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -13,22 +14,21 @@
 use settings::Class;
 use web::Body;
 
-use crate::dispatch::{Dispatched, dispatch, pass_on};
-use crate::relay::{DEADLINE, MOST_HOPS, Relayed};
+use crate::dispatch::{DispatchOutcome, dispatch, forward_response};
+use crate::relay::{DEADLINE_HEADER, MAX_HOPS, RelayOutcome};
 use crate::state::{Gateway, RelayHost};
-use crate::{answer, body, keyed};
+use crate::{body, keyed, response};
 
-/// Where the balancer asks whether to send requests here.
-const HEALTH: &str = "/-/health";
-const TEAM: &str = "x-team";
-const NO_TEAM: &str = "none";
+/// Path of the health check of the load balancer.
+const HEALTH_PATH: &str = "/-/health";
+const TEAM_HEADER: &str = "x-team";
+const DEFAULT_TEAM: &str = "none";
 
 /// Who sent a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Source {
-    /// A caller.
     Caller,
-    /// Another entry host, after so many hops.
+    /// Another entry host, with the number of times that the request has been relayed.
     Host(u8),
 }
 
@@ -41,34 +41,34 @@
     }
 }
 
-/// A request that passed the checks.
-pub(crate) struct Checked {
+/// A request that passed validation.
+pub(crate) struct CheckedRequest {
     pub(crate) class: ClassIndex,
-    pub(crate) ask: SlotRequest,
+    pub(crate) slot_request: SlotRequest,
     pub(crate) parts: Parts,
     pub(crate) body: Incoming,
     pub(crate) source: Source,
 }
 
-pub(crate) async fn answer(gateway: &Arc<Gateway>, request: Request<Incoming>, source: Source) -> Response<Body> {
+pub(crate) async fn handle(gateway: &Arc<Gateway>, request: Request<Incoming>, source: Source) -> Response<Body> {
     let received = Instant::now();
-    if request.uri().path() == HEALTH {
+    if request.uri().path() == HEALTH_PATH {
         return health(gateway);
     }
     let checked = match check(gateway, request, source, received) {
         Ok(checked) => checked,
-        Err(refusal) => return *refusal,
+        Err(rejection) => return *rejection,
     };
-    let (class, team) = (checked.class, checked.ask.team.clone());
-    let answered = if gateway.classes[class].repeatable {
+    let (class, team) = (checked.class, checked.slot_request.team.clone());
+    let response = if gateway.classes[class].repeatable {
         repeatable(gateway, checked).await
     } else {
-        keyed::answer(gateway, checked).await
+        keyed::handle(gateway, checked).await
     };
     if source == Source::Caller {
-        count(gateway, class, &team, &answered, received);
+        count(gateway, class, &team, &response, received);
     }
-    answered
+    response
 }
 
 fn health(gateway: &Gateway) -> Response<Body> {
@@ -81,8 +81,8 @@
     web::json(StatusCode::OK, &"serving")
 }
 
-fn count(gateway: &Gateway, class: ClassIndex, team: &str, answered: &Response<Body>, received: Instant) {
-    let outcome = answer::outcome(answered);
+fn count(gateway: &Gateway, class: ClassIndex, team: &str, response: &Response<Body>, received: Instant) {
+    let outcome = response::outcome(response);
     let counts = &gateway.counts[class];
     let counter = match outcome {
         "not_run" => &counts.not_run,
@@ -93,69 +93,79 @@
     gateway.metrics.request(&gateway.classes[class].name, team, outcome, received.elapsed());
 }
 
-type Refused = Box<Response<Body>>;
+type Rejection = Box<Response<Body>>;
 
-fn check(gateway: &Gateway, request: Request<Incoming>, source: Source, received: Instant) -> Result<Checked, Refused> {
+fn check(
+    gateway: &Gateway,
+    request: Request<Incoming>,
+    source: Source,
+    received: Instant,
+) -> Result<CheckedRequest, Rejection> {
     let (parts, body) = request.into_parts();
-    let bad = |status, why: &str| Err(Box::new(answer::bad(status, why)));
-    let Some(class) = gateway.paths.find(parts.uri.path()) else {
-        return bad(StatusCode::NOT_FOUND, "no class of requests has this path");
+    let reject = |status, reason: &str| Err(Box::new(response::rejected(status, reason)));
+    let Some(class) = gateway.class_paths.find(parts.uri.path()) else {
+        return reject(StatusCode::NOT_FOUND, "no request class matches this path");
     };
     let headers = &parts.headers;
     if headers.contains_key(header::UPGRADE) {
-        return bad(StatusCode::NOT_IMPLEMENTED, "connections can't be upgraded");
+        return reject(StatusCode::NOT_IMPLEMENTED, "connections can't be upgraded");
     }
     if body.size_hint().lower() > gateway.limits.max_body {
-        return bad(StatusCode::PAYLOAD_TOO_LARGE, "the body is larger than the limit");
+        return reject(StatusCode::PAYLOAD_TOO_LARGE, "the body is larger than the limit");
     }
-    let settings = &gateway.classes[class];
-    let deadline = deadline(headers, settings, received)?;
+    let class_settings = &gateway.classes[class];
+    let deadline = deadline(headers, class_settings, received)?;
     let team = team(gateway, headers)?;
-    let ask = SlotRequest { team, priority: settings.priority, deadline };
-    Ok(Checked { class, ask, parts, body, source })
+    let slot_request = SlotRequest { team, priority: class_settings.priority, deadline };
+    Ok(CheckedRequest { class, slot_request, parts, body, source })
 }
 
-/// The class's deadline, or the caller's when that is sooner.
-fn deadline(headers: &HeaderMap, class: &Class, received: Instant) -> Result<Instant, Refused> {
-    let Some(value) = headers.get(DEADLINE) else { return Ok(received + class.deadline) };
+/// The deadline of the class, or that of the caller if it is earlier.
+fn deadline(headers: &HeaderMap, class: &Class, received: Instant) -> Result<Instant, Rejection> {
+    let Some(value) = headers.get(DEADLINE_HEADER) else { return Ok(received + class.deadline) };
     let millis = value.to_str().ok().and_then(|text| text.parse::<u64>().ok());
     let Some(millis) = millis else {
-        let why = "walkhook-deadline-ms must be a whole number of milliseconds";
-        return Err(Box::new(answer::bad(StatusCode::BAD_REQUEST, why)));
+        let reason = "walkhook-deadline-ms must be a whole number of milliseconds";
+        return Err(Box::new(response::rejected(StatusCode::BAD_REQUEST, reason)));
     };
     Ok(received + Duration::from_millis(millis).min(class.deadline))
 }
 
-fn team(gateway: &Gateway, headers: &HeaderMap) -> Result<String, Refused> {
-    let Some(value) = headers.get(TEAM) else { return Ok(NO_TEAM.to_owned()) };
+fn team(gateway: &Gateway, headers: &HeaderMap) -> Result<String, Rejection> {
+    let Some(value) = headers.get(TEAM_HEADER) else { return Ok(DEFAULT_TEAM.to_owned()) };
     match value.to_str() {
-        Ok(name) if model::plan::is_valid_name(name) => Ok(gateway.team(name)),
-        _ => Err(Box::new(answer::bad(StatusCode::BAD_REQUEST, "x-team must be the name of a team"))),
+        Ok(name) if model::plan::is_valid_name(name) => Ok(gateway.tracked_team(name)),
+        _ => Err(Box::new(response::rejected(StatusCode::BAD_REQUEST, "x-team must be the name of a team"))),
     }
 }
 
-/// A request that may run more than once: here, or in another data centre when there is no instance here.
-async fn repeatable(gateway: &Arc<Gateway>, checked: Checked) -> Response<Body> {
+/// Handles a request that may run more than once. It is relayed to another data centre if there is no instance in this
+/// one.
+async fn repeatable(gateway: &Arc<Gateway>, checked: CheckedRequest) -> Response<Body> {
     let class = &gateway.classes[checked.class];
     let service = &gateway.services[&class.service];
     if !service.has_instances() && checked.source == Source::Caller {
-        return elsewhere(gateway, checked).await;
+        return relay_to_other_data_centre(gateway, checked).await;
     }
-    let deadline = checked.ask.deadline;
+    let deadline = checked.slot_request.deadline;
     let body = match body::read_first(checked.body, gateway.limits.max_body, deadline).await {
         Ok(body) => body,
-        Err(refusal) => return *refusal,
+        Err(rejection) => return *rejection,
     };
-    match dispatch(service, &checked.ask, &checked.parts, body).await {
-        Dispatched::Answered(answer, held) => pass_on(answer, held, deadline).await,
-        Dispatched::Refused(refusal) => answer::refused(&refusal),
-        Dispatched::NotRun => answer::not_run("no instance of the service took it", service.retry_after()),
-        Dispatched::Unknown(why) => answer::unknown(StatusCode::GATEWAY_TIMEOUT, &why, Some(service.retry_after())),
+    match dispatch(service, &checked.slot_request, &checked.parts, body).await {
+        DispatchOutcome::Answered(response, pending) => forward_response(response, pending, deadline).await,
+        DispatchOutcome::Refused(refusal) => response::refused(&refusal),
+        DispatchOutcome::NotRun => {
+            response::not_run("no instance of the service accepted the request", service.retry_after())
+        }
+        DispatchOutcome::Unknown(reason) => {
+            response::unknown(StatusCode::GATEWAY_TIMEOUT, &reason, Some(service.retry_after()))
+        }
     }
 }
 
-/// Hosts of other data centres that take requests, the own one left out.
-fn hosts_elsewhere(gateway: &Gateway) -> Vec<RelayHost> {
+/// Hosts of other data centres that accept requests, in random order.
+fn hosts_in_other_data_centres(gateway: &Gateway) -> Vec<RelayHost> {
     let topology = gateway.topology.read();
     let mut hosts: Vec<RelayHost> = topology
         .relay_hosts
@@ -168,26 +178,30 @@
     hosts
 }
 
-/// The first host of another data centre that can be connected to.
-async fn elsewhere(gateway: &Arc<Gateway>, checked: Checked) -> Response<Body> {
-    let refusal = || answer::not_run("no instance of the service is live", Duration::from_secs(1));
-    let Some(host) = hosts_elsewhere(gateway).into_iter().next() else { return refusal() };
+/// Relays a request to a random host of another data centre.
+async fn relay_to_other_data_centre(gateway: &Arc<Gateway>, checked: CheckedRequest) -> Response<Body> {
+    let no_instance = || response::not_run("the service has no live instance", Duration::from_secs(1));
+    let Some(host) = hosts_in_other_data_centres(gateway).into_iter().next() else { return no_instance() };
     let body = checked.body.boxed();
-    match gateway.relay.pass(host.relay, &checked.parts, body, checked.source.hops(), checked.ask.deadline).await {
-        Relayed::Answered(answer) => answer,
-        Relayed::NotSent => refusal(),
-        Relayed::Unknown(why) => answer::unknown(StatusCode::GATEWAY_TIMEOUT, &why, None),
+    match gateway
+        .relay
+        .send(host.relay, &checked.parts, body, checked.source.hops(), checked.slot_request.deadline)
+        .await
+    {
+        RelayOutcome::Answered(response) => response,
+        RelayOutcome::NotSent => no_instance(),
+        RelayOutcome::Unknown(reason) => response::unknown(StatusCode::GATEWAY_TIMEOUT, &reason, None),
     }
 }
 
-/// Hosts of a data centre that take requests.
+/// Hosts of another data centre that accept requests, in random order.
 pub(crate) fn hosts_in(gateway: &Gateway, data_centre: &DataCentreId) -> Vec<RelayHost> {
-    let mut hosts = hosts_elsewhere(gateway);
+    let mut hosts = hosts_in_other_data_centres(gateway);
     hosts.retain(|host| host.data_centre == *data_centre);
     hosts
 }
 
 /// Whether a request may be relayed once more.
 pub(crate) fn may_relay(source: Source) -> bool {
-    source.hops() < MOST_HOPS
+    source.hops() < MAX_HOPS
 }
--- a/components/gateway/src/body.rs
+++ b/components/gateway/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests on their way to an instance.
+//! Request bodies sent to instances.
 
 use std::error::Error;
 use std::pin::Pin;
@@ -12,60 +12,60 @@
 use hyper::body::{Body as HttpBody, Frame, Incoming, SizeHint};
 use web::Body;
 
-use crate::answer;
+use crate::response;
 
-/// So much of a body is read before an instance is chosen: a slow or broken caller takes no slot, and most
-/// requests are whole before any byte of them is sent.
-const READ_FIRST: usize = 64 * 1024;
+/// Bytes of a body that are read before a slot is acquired, so that slow or failing callers occupy no slot and most
+/// requests are complete before any byte is sent to an instance.
+const PREFETCH_BYTES: usize = 64 * 1024;
 
 /// The body of a request to an instance.
-pub(crate) type Outgoing = UnsyncBoxBody<Bytes, Box<dyn Error + Send + Sync>>;
+pub(crate) type RequestBody = UnsyncBoxBody<Bytes, Box<dyn Error + Send + Sync>>;
 
-/// A body that is whole already.
-pub(crate) fn whole(bytes: Bytes) -> Outgoing {
+/// Creates a body from bytes that are already complete.
+pub(crate) fn whole(bytes: Bytes) -> RequestBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// Reads the beginning of a caller's body. What is longer is passed on as it comes, up to `limit` bytes.
+/// Reads the beginning of a caller's body. The rest of a longer one is streamed, up to `limit` bytes in total.
 pub(crate) async fn read_first(
     mut body: Incoming,
     limit: u64,
     deadline: Instant,
-) -> Result<Outgoing, Box<Response<Body>>> {
-    let declared = body.size_hint().exact();
+) -> Result<RequestBody, Box<Response<Body>>> {
+    let declared_length = body.size_hint().exact();
     let mut prefix = BytesMut::new();
-    while prefix.len() <= READ_FIRST {
+    while prefix.len() <= PREFETCH_BYTES {
         let reading = tokio::time::timeout_at(tokio::time::Instant::from_std(deadline), body.frame());
         let frame = match reading.await {
             Ok(None) => return Ok(whole(prefix.freeze())),
             Ok(Some(Ok(frame))) => frame,
-            Ok(Some(Err(_))) => return refuse(StatusCode::BAD_REQUEST, "the body broke off or is malformed"),
-            Err(_) => return refuse(StatusCode::REQUEST_TIMEOUT, "the body did not come before the deadline"),
+            Ok(Some(Err(_))) => return reject(StatusCode::BAD_REQUEST, "the body is incomplete or malformed"),
+            Err(_) => return reject(StatusCode::REQUEST_TIMEOUT, "the body was not received before the deadline"),
         };
-        // Trailers of a request are not passed on.
+        // Request trailers are dropped.
         if let Ok(data) = frame.into_data() {
             prefix.extend_from_slice(&data);
         }
     }
-    let left = limit.saturating_sub(prefix.len() as u64);
-    Ok(Prefixed { prefix: Some(prefix.freeze()), rest: body, left, declared }.boxed_unsync())
+    let remaining = limit.saturating_sub(prefix.len() as u64);
+    Ok(PrefixedBody { prefix: Some(prefix.freeze()), rest: body, remaining, declared_length }.boxed_unsync())
 }
 
-fn refuse<T>(status: StatusCode, why: &str) -> Result<T, Box<Response<Body>>> {
-    Err(Box::new(answer::bad(status, why)))
+fn reject<T>(status: StatusCode, reason: &str) -> Result<T, Box<Response<Body>>> {
+    Err(Box::new(response::rejected(status, reason)))
 }
 
-/// A body whose beginning was read already.
-struct Prefixed {
+/// A body whose beginning has already been read.
+struct PrefixedBody {
     prefix: Option<Bytes>,
     rest: Incoming,
-    /// Bytes that the rest may still have.
-    left: u64,
-    /// The whole length, when the caller stated it.
-    declared: Option<u64>,
+    /// Bytes that may still follow within the limit.
+    remaining: u64,
+    /// The total length, if the caller declared it.
+    declared_length: Option<u64>,
 }
 
-impl HttpBody for Prefixed {
+impl HttpBody for PrefixedBody {
     type Data = Bytes;
     type Error = Box<dyn Error + Send + Sync>;
 
@@ -81,9 +81,9 @@
             return polled.map(|frame| frame.map(|result| result.map_err(Into::into)));
         };
         let length = frame.data_ref().map_or(0, Bytes::len) as u64;
-        match self.left.checked_sub(length) {
-            Some(left) => {
-                self.left = left;
+        match self.remaining.checked_sub(length) {
+            Some(remaining) => {
+                self.remaining = remaining;
                 Poll::Ready(Some(Ok(frame)))
             }
             None => Poll::Ready(Some(Err("the body is larger than the limit".into()))),
@@ -91,7 +91,7 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        // The instance is told the length that the caller stated, and otherwise gets chunks.
-        self.declared.map_or_else(SizeHint::default, SizeHint::with_exact)
+        // Without a declared length, the body is sent to the instance in chunked encoding.
+        self.declared_length.map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 }
--- a/components/gateway/src/dispatch.rs
+++ b/components/gateway/src/dispatch.rs
@@ -1,5 +1,5 @@
-//! Sends an admitted request to an instance, again only where it surely did not run, and brings the answer
-//! back whole or visibly broken.
+//! Sends an admitted request to an instance and forwards its response. A request is only retried if it can't have run,
+//! and a truncated response is never forwarded as a complete one.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -14,18 +14,17 @@
 use request::{Refusal, SlotRequest};
 use web::Body;
 
-use crate::answer;
-use crate::body::Outgoing;
-use crate::link::{Connection, Sent};
+use crate::body::RequestBody;
+use crate::connections::{Connection, SendOutcome};
+use crate::response;
 use crate::service::{Service, Slot};
 
-/// Answers up to this size are read whole before they are passed on: their slot is free at once, however
-/// slowly the caller reads.
-const READ_WHOLE: u64 = 64 * 1024;
-/// Retries of one request at the most.
-const MOST_RETRIES: u32 = 3;
+/// Responses up to this size are read completely before they are forwarded, so that a slow caller does not occupy the
+/// slot.
+const MAX_BUFFERED_RESPONSE: u64 = 64 * 1024;
+const MAX_RETRIES: u32 = 3;
 
-/// Headers that concern one connection only.
+/// Headers that apply to a single connection.
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -36,161 +35,169 @@
     header::UPGRADE,
     HeaderName::from_static("keep-alive"),
 ];
-/// Headers that only walkhook sets.
-const INTERNAL: &str = "x-walkhook-";
+/// Prefix of headers that only walkhook may set.
+const INTERNAL_PREFIX: &str = "x-walkhook-";
 
-/// How a dispatch ended.
-pub(crate) enum Dispatched {
-    /// The head of an answer came; its body follows.
-    Answered(Response<Incoming>, Box<Held>),
+pub(crate) enum DispatchOutcome {
+    /// The head of a response was received; its body follows.
+    Answered(Response<Incoming>, Box<PendingResponse>),
     /// Refused before anything was sent.
     Refused(Refusal),
-    /// Nothing was sent to any instance.
+    /// No instance can have received the request.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown(String),
 }
 
-/// The slot and connection of an answer that is being read.
-pub(crate) struct Held {
+/// The slot and connection of a response whose body has not been read completely.
+pub(crate) struct PendingResponse {
     slot: Slot,
     connection: Connection,
 }
 
-impl Held {
-    /// The answer was read to its end.
+impl PendingResponse {
+    /// Releases the slot and keeps the connection, after the response has been read completely.
     fn finish(self) {
-        self.slot.service().links.keep(self.slot.pick.address, self.connection);
-        self.slot.answered();
+        self.slot.service().connections.keep(self.slot.taken.address, self.connection);
+        self.slot.release_answered();
     }
 }
 
-/// Removes headers that must not be passed on.
-pub(crate) fn clean(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+/// Removes headers that must not be forwarded: hop-by-hop headers and those that only walkhook may set.
+pub(crate) fn strip_headers(headers: &mut HeaderMap) {
+    let connection_headers: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    let internal: Vec<HeaderName> =
-        headers.keys().filter(|name| name.as_str().starts_with(INTERNAL)).cloned().collect();
-    for name in HOP_BY_HOP.iter().chain(&named).chain(&internal) {
+    let internal_headers: Vec<HeaderName> =
+        headers.keys().filter(|name| name.as_str().starts_with(INTERNAL_PREFIX)).cloned().collect();
+    for name in HOP_BY_HOP.iter().chain(&connection_headers).chain(&internal_headers) {
         headers.remove(name);
     }
 }
 
-/// Runs a request on an instance of the service.
-pub(crate) async fn dispatch(service: &Arc<Service>, ask: &SlotRequest, parts: &Parts, body: Outgoing) -> Dispatched {
-    let mut slot = match service.slot(ask).await {
+/// Sends a request to an instance of the service and waits for the head of its response.
+pub(crate) async fn dispatch(
+    service: &Arc<Service>,
+    slot_request: &SlotRequest,
+    parts: &Parts,
+    body: RequestBody,
+) -> DispatchOutcome {
+    let mut slot = match service.acquire_slot(slot_request).await {
         Ok(slot) => slot,
-        Err(refusal) => return Dispatched::Refused(refusal),
+        Err(refusal) => return DispatchOutcome::Refused(refusal),
     };
-    let mut request = outgoing(parts, body, &slot);
-    for _ in 0..=MOST_RETRIES {
-        let sending = service.links.send(slot.pick.address, request);
-        let deadline = tokio::time::Instant::from_std(ask.deadline);
+    let mut request = outgoing_request(parts, body, &slot);
+    for _ in 0..=MAX_RETRIES {
+        let sending = service.connections.send(slot.taken.address, request);
+        let deadline = tokio::time::Instant::from_std(slot_request.deadline);
         let sent = match tokio::time::timeout_at(deadline, sending).await {
             Ok(sent) => sent,
             Err(_) => {
-                slot.abandoned();
-                return Dispatched::Unknown("no answer before the deadline".to_owned());
+                slot.release_later();
+                return DispatchOutcome::Unknown("no response before the deadline".to_owned());
             }
         };
         match sent {
-            Sent::Answered(answer, connection) => {
-                return Dispatched::Answered(answer, Box::new(Held { slot, connection }));
+            SendOutcome::Answered(response, connection) => {
+                return DispatchOutcome::Answered(response, Box::new(PendingResponse { slot, connection }));
             }
-            Sent::Unknown(why) => return Dispatched::Unknown(why),
-            Sent::Back(back) => request = *back,
+            SendOutcome::Unknown(reason) => return DispatchOutcome::Unknown(reason),
+            SendOutcome::NotSent(returned) => request = *returned,
         }
-        let failed = slot.pick.name.clone();
+        let failed = slot.taken.name.clone();
         drop(slot);
-        if Instant::now() >= ask.deadline {
-            return Dispatched::NotRun;
+        if Instant::now() >= slot_request.deadline {
+            return DispatchOutcome::NotRun;
         }
-        match service.another(&failed) {
-            Some(another) => slot = another,
-            None => return Dispatched::NotRun,
+        match service.acquire_retry_slot(&failed) {
+            Some(retry_slot) => slot = retry_slot,
+            None => return DispatchOutcome::NotRun,
         }
     }
-    Dispatched::NotRun
+    DispatchOutcome::NotRun
 }
 
-/// The request as it is sent.
-fn outgoing(parts: &Parts, body: Outgoing, slot: &Slot) -> Request<Outgoing> {
+/// Creates the request that is sent to the instance of the slot.
+fn outgoing_request(parts: &Parts, body: RequestBody, slot: &Slot) -> Request<RequestBody> {
     let mut request = Request::new(body);
     *request.method_mut() = parts.method.clone();
-    // Backend servers expect the path alone, whatever form the caller used.
+    // Backend servers expect a URI with only path and query, also if the caller sent an absolute one.
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
     if let Ok(uri) = path.parse() {
         *request.uri_mut() = uri;
     }
     *request.headers_mut() = parts.headers.clone();
-    clean(request.headers_mut());
+    strip_headers(request.headers_mut());
     if !request.headers().contains_key(header::HOST)
-        && let Ok(host) = slot.pick.address.to_string().parse()
+        && let Ok(host) = slot.taken.address.to_string().parse()
     {
         request.headers_mut().insert(header::HOST, host);
     }
     request
 }
 
-/// Turns an answer into the caller's: read whole when small, else passed on as it comes.
-pub(crate) async fn pass_on(answer: Response<Incoming>, held: Box<Held>, deadline: Instant) -> Response<Body> {
-    let (mut parts, body) = answer.into_parts();
-    clean(&mut parts.headers);
-    let small = body.size_hint().upper().is_some_and(|upper| upper <= READ_WHOLE);
-    if !small {
-        return Response::from_parts(parts, Tracked { body, held: Some(held) }.boxed());
+/// Creates the response for the caller: small bodies are buffered, others are streamed.
+pub(crate) async fn forward_response(
+    response: Response<Incoming>,
+    pending: Box<PendingResponse>,
+    deadline: Instant,
+) -> Response<Body> {
+    let (mut parts, body) = response.into_parts();
+    strip_headers(&mut parts.headers);
+    let buffered = body.size_hint().upper().is_some_and(|upper| upper <= MAX_BUFFERED_RESPONSE);
+    if !buffered {
+        return Response::from_parts(parts, StreamedBody { body, pending: Some(pending) }.boxed());
     }
-    match read_whole(body, held, deadline, READ_WHOLE as usize).await {
+    match read_whole(body, pending, deadline, MAX_BUFFERED_RESPONSE as usize).await {
         Ok(bytes) => Response::from_parts(parts, web::full(bytes)),
-        Err(_) => broken(),
+        Err(_) => incomplete_response(),
     }
 }
 
-/// Why a body could not be read whole.
-pub(crate) enum Unread {
-    /// It broke off, or did not end before the deadline.
-    Broken,
-    /// It is longer than the limit.
-    Long,
+/// Why a body could not be read completely.
+pub(crate) enum ReadError {
+    /// The connection failed, or the deadline passed.
+    Incomplete,
+    /// The body exceeds the limit.
+    TooLong,
 }
 
-/// Reads an answer's body to its end and frees its slot.
+/// Reads the complete body of a response and releases its slot.
 pub(crate) async fn read_whole(
     body: Incoming,
-    held: Box<Held>,
+    pending: Box<PendingResponse>,
     deadline: Instant,
     limit: usize,
-) -> Result<Bytes, Unread> {
+) -> Result<Bytes, ReadError> {
     let reading = Limited::new(body, limit).collect();
     let read = tokio::time::timeout_at(tokio::time::Instant::from_std(deadline), reading).await;
     match read {
         Ok(Ok(collected)) => {
-            held.finish();
+            pending.finish();
             Ok(collected.to_bytes())
         }
-        Ok(Err(fault)) if fault.is::<http_body_util::LengthLimitError>() => Err(Unread::Long),
-        Ok(Err(_)) | Err(_) => Err(Unread::Broken),
+        Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => Err(ReadError::TooLong),
+        Ok(Err(_)) | Err(_) => Err(ReadError::Incomplete),
     }
 }
 
-/// The answer to a caller whose backend server's answer broke off before any of it was passed on.
-pub(crate) fn broken() -> Response<Body> {
-    answer::unknown(StatusCode::BAD_GATEWAY, "the backend server's answer broke off", None)
+/// The response to a caller if the response of the backend server was truncated before any of it was forwarded.
+pub(crate) fn incomplete_response() -> Response<Body> {
+    response::unknown(StatusCode::BAD_GATEWAY, "the response of the backend server is incomplete", None)
 }
 
-/// A body that is passed on as it comes. When it breaks off, so does the caller's connection: a part is never
-/// shown as the whole.
-struct Tracked {
+/// A response body that is streamed to the caller. An error of the backend connection also ends the connection to the
+/// caller, so that a truncated response can't be mistaken for a complete one.
+struct StreamedBody {
     body: Incoming,
-    held: Option<Box<Held>>,
+    pending: Option<Box<PendingResponse>>,
 }
 
-impl HttpBody for Tracked {
+impl HttpBody for StreamedBody {
     type Data = Bytes;
     type Error = hyper::Error;
 
@@ -200,8 +207,8 @@
     ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
         let polled = Pin::new(&mut self.body).poll_frame(context);
         let ended = matches!(polled, Poll::Ready(None)) || self.body.is_end_stream();
-        if ended && let Some(held) = self.held.take() {
-            held.finish();
+        if ended && let Some(pending) = self.pending.take() {
+            pending.finish();
         }
         polled
     }
--- a/components/gateway/src/handover.rs
+++ b/components/gateway/src/handover.rs
@@ -1,4 +1,4 @@
-//! Hands the memory of unrepeatable keys over on a planned stop.
+//! Hands the recorded idempotency keys over to other hosts before a planned stop.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,52 +11,52 @@
 use request::IdempotencyKey;
 use wire::{RememberedAnswer, RememberedKey};
 
-use crate::keyed::Stored;
-use crate::state::{Gateway, SKEW};
+use crate::keyed::StoredResponse;
+use crate::state::{Gateway, MAX_CLOCK_SKEW};
 
 impl Gateway {
-    /// All keys that this host remembers, by the host that is their home once this one has gone.
+    /// All recorded keys whose request has ended, by the host that owns them once this one has stopped.
     pub fn keys_to_hand_over(&self) -> BTreeMap<HostId, Vec<RememberedKey>> {
-        let homes = self.home.lock().hosts().to_vec();
-        let mut sorted: BTreeMap<HostId, Vec<RememberedKey>> =
-            homes.iter().map(|host| (host.clone(), Vec::new())).collect();
+        let owners = self.ownership.lock().hosts().to_vec();
+        let mut by_owner: BTreeMap<HostId, Vec<RememberedKey>> =
+            owners.iter().map(|host| (host.clone(), Vec::new())).collect();
         for shard in self.keys.shards() {
-            for (key, answer) in shard.lock().memory.ended() {
-                let Some(home) = highest_ranked(&key, homes.iter().map(String::as_str)) else { continue };
-                let answer = answer.map(|stored| pack(stored));
-                sorted.entry(home.to_owned()).or_default().push(RememberedKey { key, answer });
+            for (key, answer) in shard.lock().store.ended() {
+                let Some(owner) = highest_ranked(&key, owners.iter().map(String::as_str)) else { continue };
+                let answer = answer.map(|stored| to_wire(stored));
+                by_owner.entry(owner.to_owned()).or_default().push(RememberedKey { key, answer });
             }
         }
-        sorted
+        by_owner
     }
 
-    /// Takes in keys of a host that stops. False when there is no room for one of them.
+    /// Stores the keys of a stopping host. Returns false if one is invalid or does not fit.
     pub fn restore_keys(&self, keys: &[RememberedKey]) -> bool {
         let now = SystemTime::now();
         keys.iter().all(|remembered| {
-            let Ok(key) = IdempotencyKey::parse(&remembered.key, SKEW, now) else { return false };
-            let answer = remembered.answer.as_ref().map(unpack);
+            let Ok(key) = IdempotencyKey::parse(&remembered.key, MAX_CLOCK_SKEW, now) else { return false };
+            let answer = remembered.answer.as_ref().map(from_wire);
             let answer = answer.map(|stored| {
                 let size = stored.size();
                 (Arc::new(stored), size)
             });
-            self.keys.shard(&key).lock().memory.restore(&key, answer, now)
+            self.keys.shard(&key).lock().store.restore(&key, answer, now)
         })
     }
 
-    /// Takes in that a host has handed all its keys over.
+    /// Records that a host has handed over all its keys.
     pub fn record_handover(&self, from: HostId) {
-        self.home.lock().record_handover(from, SystemTime::now());
+        self.ownership.lock().record_handover(from, SystemTime::now());
     }
 }
 
-fn pack(stored: &Stored) -> RememberedAnswer {
+fn to_wire(stored: &StoredResponse) -> RememberedAnswer {
     let headers = stored.headers.iter().map(|(name, value)| (name.to_string(), value.as_bytes().to_vec()));
     RememberedAnswer { status: stored.status.as_u16(), headers: headers.collect(), body: stored.body.to_vec() }
 }
 
-/// What came from a peer was a good answer there; a header that is none is left out.
-fn unpack(answer: &RememberedAnswer) -> Stored {
+/// Converts a response received from another host. It was valid there, so an invalid header is simply dropped.
+fn from_wire(answer: &RememberedAnswer) -> StoredResponse {
     let mut headers = HeaderMap::new();
     for (name, value) in &answer.headers {
         if let (Ok(name), Ok(value)) = (name.parse::<HeaderName>(), HeaderValue::from_bytes(value)) {
@@ -64,5 +64,5 @@
         }
     }
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
-    Stored { status, headers, body: Bytes::copy_from_slice(&answer.body) }
+    StoredResponse { status, headers, body: Bytes::copy_from_slice(&answer.body) }
 }
--- a/components/gateway/src/keyed.rs
+++ b/components/gateway/src/keyed.rs
@@ -1,5 +1,5 @@
-//! Unrepeatable requests. The key leads to one home host, which records it before dispatch, sends it to one
-//! instance once, and remembers the answer for duplicates.
+//! Requests that must not run twice, identified by an idempotency key. Each key has one owner host, which records the
+//! key before dispatch, sends the request to one instance once, and stores the response for duplicates.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -17,85 +17,85 @@
 use tokio::sync::watch;
 use web::Body;
 
-use crate::accept::{Checked, Source, hosts_in, may_relay};
-use crate::dispatch::{Dispatched, Unread, clean, dispatch, read_whole};
-use crate::relay::Relayed;
-use crate::state::{Gateway, SKEW};
-use crate::{answer, body};
+use crate::accept::{CheckedRequest, Source, hosts_in, may_relay};
+use crate::dispatch::{DispatchOutcome, ReadError, dispatch, read_whole, strip_headers};
+use crate::relay::RelayOutcome;
+use crate::state::{Gateway, MAX_CLOCK_SKEW};
+use crate::{body, response};
 
-const HEADER: &str = "idempotency-key";
-/// Largest body of an unrepeatable request: it is held until it has been sent.
+const KEY_HEADER: &str = "idempotency-key";
+/// Largest body of a request with a key: it is kept in memory until it has been sent.
 const MAX_BODY: usize = 1024 * 1024;
-/// Shards of the memory, each under its own lock.
-const SHARDS: usize = 16;
-/// Keys that one shard remembers, and bytes of their answers: 32,768 keys and 4 MiB in all. Beyond them no new key
-/// is taken.
-const MOST_KEYS: usize = 2048;
-const MOST_BYTES: usize = 256 * 1024;
-/// When to ask again after an answer could not be found out.
-const ASK_AGAIN: Duration = Duration::from_secs(1);
+/// Number of shards of the stored keys, each under its own lock.
+const SHARD_COUNT: usize = 16;
+/// Keys per shard and bytes of their responses: 32,768 keys and 4 MiB in all shards. At these limits new keys are
+/// refused.
+const MAX_KEYS_PER_SHARD: usize = 2048;
+const MAX_BYTES_PER_SHARD: usize = 256 * 1024;
+/// Time after which a caller should retry if the outcome of its request could not be determined.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// An answer that is remembered.
+/// A response stored for duplicates of its request.
 #[derive(Clone, Debug)]
-pub(crate) struct Stored {
+pub(crate) struct StoredResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
 }
 
-impl Stored {
-    /// Bytes that it takes, about.
+impl StoredResponse {
+    /// Approximate size in bytes.
     pub(crate) fn size(&self) -> usize {
         let headers = self.headers.iter().map(|(name, value)| name.as_str().len() + value.len());
         self.body.len() + headers.sum::<usize>()
     }
 
-    fn answer(&self) -> Response<Body> {
-        let mut answer = Response::new(web::full(self.body.clone()));
-        *answer.status_mut() = self.status;
-        *answer.headers_mut() = self.headers.clone();
-        answer
+    fn to_response(&self) -> Response<Body> {
+        let mut response = Response::new(web::full(self.body.clone()));
+        *response.status_mut() = self.status;
+        *response.headers_mut() = self.headers.clone();
+        response
     }
 }
 
-/// How the first request of a key ended.
+/// The result of the one run of a key.
 #[derive(Clone, Debug)]
-enum End {
-    Answered(Arc<Stored>),
+enum RunResult {
+    Answered(Arc<StoredResponse>),
     NotRun(String, Duration),
     Unknown(String),
 }
 
-impl End {
-    fn answer(&self) -> Response<Body> {
+impl RunResult {
+    fn to_response(&self) -> Response<Body> {
         match self {
-            End::Answered(stored) => stored.answer(),
-            End::NotRun(why, retry_after) => answer::not_run(why, *retry_after),
-            End::Unknown(why) => answer::unknown(StatusCode::GATEWAY_TIMEOUT, why, None),
+            RunResult::Answered(stored) => stored.to_response(),
+            RunResult::NotRun(reason, retry_after) => response::not_run(reason, *retry_after),
+            RunResult::Unknown(reason) => response::unknown(StatusCode::GATEWAY_TIMEOUT, reason, None),
         }
     }
 }
 
 pub(crate) struct Shard {
-    pub(crate) memory: IdempotencyStore<Arc<Stored>>,
-    running: HashMap<IdempotencyKey, watch::Receiver<Option<End>>>,
+    pub(crate) store: IdempotencyStore<Arc<StoredResponse>>,
+    running: HashMap<IdempotencyKey, watch::Receiver<Option<RunResult>>>,
 }
 
-/// The keys that this host is home of.
-pub(crate) struct Keys {
+/// The idempotency keys that this host owns.
+pub(crate) struct KeyShards {
     shards: Vec<Mutex<Shard>>,
-    max_remembered: usize,
+    max_stored_response: usize,
 }
 
-impl Keys {
-    pub(crate) fn new(limits: &settings::Requests) -> Keys {
+impl KeyShards {
+    pub(crate) fn new(limits: &settings::Requests) -> KeyShards {
         let shard = || Shard {
-            memory: IdempotencyStore::new(limits.key_window, MOST_KEYS, MOST_BYTES),
+            store: IdempotencyStore::new(limits.key_window, MAX_KEYS_PER_SHARD, MAX_BYTES_PER_SHARD),
             running: HashMap::new(),
         };
-        Keys {
-            shards: (0..SHARDS).map(|_| Mutex::new(shard())).collect(),
-            max_remembered: limits.max_remembered as usize,
+        KeyShards {
+            shards: (0..SHARD_COUNT).map(|_| Mutex::new(shard())).collect(),
+            max_stored_response: limits.max_remembered as usize,
         }
     }
 
@@ -105,21 +105,21 @@
 
     pub(crate) fn shard(&self, key: &IdempotencyKey) -> &Mutex<Shard> {
         let hash = blake3::hash(key.text().as_bytes());
-        &self.shards[usize::from(hash.as_bytes()[0]) % SHARDS]
+        &self.shards[usize::from(hash.as_bytes()[0]) % SHARD_COUNT]
     }
 }
 
-/// A key as the caller wrote it: a UUID, or a data centre, a colon and a UUID.
-struct Addressed {
+/// A key and the data centre that handles it. The header is a UUID, or a data centre, a colon and a UUID.
+struct RoutedKey {
     key: IdempotencyKey,
     data_centre: DataCentreId,
 }
 
-/// The home data centre is the one that the key names, else one of those configured, by the key: not of those
-/// that live, so that it never moves.
-fn address(gateway: &Gateway, headers: &HeaderMap) -> Result<Addressed, String> {
-    let value = headers.get(HEADER).ok_or("this class of requests needs an Idempotency-Key")?;
-    if headers.get_all(HEADER).iter().count() > 1 {
+/// Determines the data centre of a key: the one that the header names, otherwise one of the configured ones by hash.
+/// Whether data centres are available does not matter, so that a key never moves to another one.
+fn route_key(gateway: &Gateway, headers: &HeaderMap) -> Result<RoutedKey, String> {
+    let value = headers.get(KEY_HEADER).ok_or("this request class requires an Idempotency-Key")?;
+    if headers.get_all(KEY_HEADER).iter().count() > 1 {
         return Err("more than one Idempotency-Key".to_owned());
     }
     let text = value.to_str().map_err(|_| "the Idempotency-Key is not plain text")?;
@@ -127,7 +127,7 @@
         Some((data_centre, id)) => (Some(data_centre), id),
         None => (None, text),
     };
-    let key = IdempotencyKey::parse(id, SKEW, SystemTime::now()).map_err(|fault| fault.to_string())?;
+    let key = IdempotencyKey::parse(id, MAX_CLOCK_SKEW, SystemTime::now()).map_err(|error| error.to_string())?;
     let data_centre = match named {
         Some(name) if gateway.data_centres.iter().any(|known| known == name) => name.to_owned(),
         Some(name) => return Err(format!("the Idempotency-Key names no data centre of this cell: {name}")),
@@ -136,105 +136,126 @@
             highest_ranked(&key.text(), configured).unwrap_or(&gateway.data_centre).to_owned()
         }
     };
-    Ok(Addressed { key, data_centre })
+    Ok(RoutedKey { key, data_centre })
 }
 
-pub(crate) async fn answer(gateway: &Arc<Gateway>, checked: Checked) -> Response<Body> {
-    let Addressed { key, data_centre } = match address(gateway, &checked.parts.headers) {
-        Ok(addressed) => addressed,
-        Err(why) => return answer::bad(StatusCode::BAD_REQUEST, &why),
+pub(crate) async fn handle(gateway: &Arc<Gateway>, checked: CheckedRequest) -> Response<Body> {
+    let RoutedKey { key, data_centre } = match route_key(gateway, &checked.parts.headers) {
+        Ok(routed) => routed,
+        Err(reason) => return response::rejected(StatusCode::BAD_REQUEST, &reason),
     };
     if data_centre != gateway.data_centre {
-        return to_data_centre(gateway, checked, &data_centre).await;
+        return relay_to_data_centre(gateway, checked, &data_centre).await;
     }
-    let standing = gateway.home.lock().status(&key.text(), key.created());
-    match standing {
-        KeyStatus::Owned => at_home(gateway, checked, key).await,
-        KeyStatus::OwnedBy(host) => to_host(gateway, checked, &host).await,
-        KeyStatus::MayHaveRun => not_remembered(gateway, &key),
-        KeyStatus::Uncertain => asked_again("its home can't be sure now that no other host has taken its place"),
+    let status = gateway.ownership.lock().status(&key.text(), key.created());
+    match status {
+        KeyStatus::Owned => run_as_owner(gateway, checked, key).await,
+        KeyStatus::OwnedBy(host) => relay_to_owner(gateway, checked, &host).await,
+        KeyStatus::MayHaveRun => respond_from_store(gateway, &key),
+        KeyStatus::Uncertain => {
+            unknown_retry_later("the owner of the key can't currently rule out that another host has replaced it")
+        }
     }
 }
 
-/// The key's home may have moved here after the key was made. What is in the memory is certain all the same.
-fn not_remembered(gateway: &Gateway, key: &IdempotencyKey) -> Response<Body> {
-    let known = gateway.keys.shard(key).lock().memory.get(key);
+/// Handles a key that may have had another owner since it was created. A stored response is still valid; without one,
+/// an earlier request may have run.
+fn respond_from_store(gateway: &Gateway, key: &IdempotencyKey) -> Response<Body> {
+    let known = gateway.keys.shard(key).lock().store.get(key);
     match known {
-        Some(stored) => stored.answer(),
-        None => answer::unknown(StatusCode::CONFLICT, "its home changed after the key was made: it may have run", None),
+        Some(stored) => stored.to_response(),
+        None => response::unknown(
+            StatusCode::CONFLICT,
+            "the owner of the key changed after the key was created: the request may have run",
+            None,
+        ),
     }
 }
 
-/// Nothing was run now, but an earlier request with the key may have been.
-fn asked_again(why: &str) -> Response<Body> {
-    answer::unknown(StatusCode::SERVICE_UNAVAILABLE, why, Some(ASK_AGAIN))
+/// This request was not run, but an earlier one with the same key may have been.
+fn unknown_retry_later(reason: &str) -> Response<Body> {
+    response::unknown(StatusCode::SERVICE_UNAVAILABLE, reason, Some(RETRY_AFTER))
 }
 
-async fn to_data_centre(gateway: &Arc<Gateway>, checked: Checked, data_centre: &DataCentreId) -> Response<Body> {
+async fn relay_to_data_centre(
+    gateway: &Arc<Gateway>,
+    checked: CheckedRequest,
+    data_centre: &DataCentreId,
+) -> Response<Body> {
     if checked.source != Source::Caller {
-        return asked_again("entry hosts disagree on the home of the key");
+        return unknown_retry_later("entry hosts disagree on the owner of the key");
     }
     let Some(host) = hosts_in(gateway, data_centre).into_iter().next() else {
-        return asked_again("the key's home data centre can't be reached");
+        return unknown_retry_later("the data centre of the key can't be reached");
     };
-    pass(gateway, checked, host.relay).await
+    relay(gateway, checked, host.relay).await
 }
 
-async fn to_host(gateway: &Arc<Gateway>, checked: Checked, host: &str) -> Response<Body> {
+async fn relay_to_owner(gateway: &Arc<Gateway>, checked: CheckedRequest, host: &str) -> Response<Body> {
     if !may_relay(checked.source) {
-        return asked_again("entry hosts disagree on the home of the key");
+        return unknown_retry_later("entry hosts disagree on the owner of the key");
     }
     let relay_hosts = gateway.topology.read().relay_hosts.clone();
-    let Some(home) = relay_hosts.into_iter().find(|neighbour| neighbour.host == host) else {
-        return asked_again("the key's home host can't be reached");
+    let Some(owner) = relay_hosts.into_iter().find(|candidate| candidate.host == host) else {
+        return unknown_retry_later("the owner of the key can't be reached");
     };
-    pass(gateway, checked, home.relay).await
+    relay(gateway, checked, owner.relay).await
 }
 
-async fn pass(gateway: &Arc<Gateway>, checked: Checked, to: std::net::SocketAddr) -> Response<Body> {
+async fn relay(gateway: &Arc<Gateway>, checked: CheckedRequest, to: std::net::SocketAddr) -> Response<Body> {
     let body = checked.body.boxed();
-    match gateway.relay.pass(to, &checked.parts, body, checked.source.hops(), checked.ask.deadline).await {
-        Relayed::Answered(answer) => answer,
-        Relayed::NotSent => asked_again("the key's home host can't be reached"),
-        Relayed::Unknown(why) => answer::unknown(StatusCode::GATEWAY_TIMEOUT, &why, Some(ASK_AGAIN)),
+    match gateway.relay.send(to, &checked.parts, body, checked.source.hops(), checked.slot_request.deadline).await {
+        RelayOutcome::Answered(response) => response,
+        RelayOutcome::NotSent => unknown_retry_later("the owner of the key can't be reached"),
+        RelayOutcome::Unknown(reason) => response::unknown(StatusCode::GATEWAY_TIMEOUT, &reason, Some(RETRY_AFTER)),
     }
 }
 
-async fn at_home(gateway: &Arc<Gateway>, checked: Checked, key: IdempotencyKey) -> Response<Body> {
-    let deadline = checked.ask.deadline;
-    let bytes = match read_body(checked.body, deadline).await {
-        Ok(bytes) => bytes,
+async fn run_as_owner(gateway: &Arc<Gateway>, checked: CheckedRequest, key: IdempotencyKey) -> Response<Body> {
+    let deadline = checked.slot_request.deadline;
+    let body = match read_body(checked.body, deadline).await {
+        Ok(body) => body,
         Err(refusal) => return refusal,
     };
     let mut running = {
         let mut shard = gateway.keys.shard(&key).lock();
-        match shard.memory.begin(&key, SystemTime::now()) {
-            BeginOutcome::Answered(stored) => return stored.answer(),
+        match shard.store.begin(&key, SystemTime::now()) {
+            BeginOutcome::Answered(stored) => return stored.to_response(),
             BeginOutcome::Unknown => {
-                return answer::unknown(StatusCode::CONFLICT, "whether it ran can't be said any more", None);
+                return response::unknown(StatusCode::CONFLICT, "it is no longer known whether the request ran", None);
             }
-            BeginOutcome::Full => return answer::not_run("the home remembers too many keys already", ASK_AGAIN),
+            BeginOutcome::Full => return response::not_run("the owner stores too many keys", RETRY_AFTER),
             BeginOutcome::Running => match shard.running.get(&key) {
                 Some(running) => running.clone(),
-                None => return asked_again("an earlier request with the key is ending"),
+                None => return unknown_retry_later("an earlier request with the same key is ending"),
             },
             BeginOutcome::First => {
                 let (sender, receiver) = watch::channel(None);
                 shard.running.insert(key, receiver.clone());
                 drop(shard);
-                let run = Run { class: checked.class, ask: checked.ask, parts: checked.parts, bytes, key };
-                // Goes on when the caller hangs up: it was recorded, so its end must be known.
-                tokio::spawn(run.finish(gateway.clone(), sender));
+                let run = KeyedRun {
+                    class: checked.class,
+                    slot_request: checked.slot_request,
+                    parts: checked.parts,
+                    body,
+                    key,
+                };
+                // Continues if the caller disconnects: the key is recorded, so its result must become known.
+                tokio::spawn(run.run_and_record(gateway.clone(), sender));
                 receiver
             }
         }
     };
-    let ended = running.wait_for(Option::is_some);
-    match tokio::time::timeout_at(tokio::time::Instant::from_std(deadline), ended).await {
-        Ok(Ok(end)) => end.as_ref().map_or_else(|| asked_again("it is still running"), End::answer),
-        Ok(Err(_)) | Err(_) => {
-            answer::unknown(StatusCode::GATEWAY_TIMEOUT, "no answer before the deadline; ask again", Some(ASK_AGAIN))
+    let finished = running.wait_for(Option::is_some);
+    match tokio::time::timeout_at(tokio::time::Instant::from_std(deadline), finished).await {
+        Ok(Ok(result)) => {
+            result.as_ref().map_or_else(|| unknown_retry_later("the request is still running"), RunResult::to_response)
         }
+        Ok(Err(_)) | Err(_) => response::unknown(
+            StatusCode::GATEWAY_TIMEOUT,
+            "no response before the deadline; retry with the same key",
+            Some(RETRY_AFTER),
+        ),
     }
 }
 
@@ -242,51 +263,62 @@
     let reading = Limited::new(body, MAX_BODY).collect();
     match tokio::time::timeout_at(tokio::time::Instant::from_std(deadline), reading).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
-        Ok(Err(fault)) if fault.is::<http_body_util::LengthLimitError>() => {
-            Err(answer::bad(StatusCode::PAYLOAD_TOO_LARGE, "the body of an unrepeatable request is limited to 1 MiB"))
-        }
-        Ok(Err(_)) => Err(answer::bad(StatusCode::BAD_REQUEST, "the body broke off")),
-        Err(_) => Err(answer::bad(StatusCode::REQUEST_TIMEOUT, "the body did not come before the deadline")),
+        Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => Err(response::rejected(
+            StatusCode::PAYLOAD_TOO_LARGE,
+            "the body of a request with an idempotency key is limited to 1 MiB",
+        )),
+        Ok(Err(_)) => Err(response::rejected(StatusCode::BAD_REQUEST, "the body is incomplete")),
+        Err(_) => Err(response::rejected(StatusCode::REQUEST_TIMEOUT, "the body was not received before the deadline")),
     }
 }
 
 /// The one run of a key.
-struct Run {
+struct KeyedRun {
     class: ClassIndex,
-    ask: SlotRequest,
+    slot_request: SlotRequest,
     parts: Parts,
-    bytes: Bytes,
+    body: Bytes,
     key: IdempotencyKey,
 }
 
-impl Run {
-    async fn finish(self, gateway: Arc<Gateway>, sender: watch::Sender<Option<End>>) {
-        let end = self.run(&gateway).await;
+impl KeyedRun {
+    async fn run_and_record(self, gateway: Arc<Gateway>, sender: watch::Sender<Option<RunResult>>) {
+        let result = self.run(&gateway).await;
         let mut shard = gateway.keys.shard(&self.key).lock();
-        match &end {
-            End::Answered(stored) => shard.memory.record_answer(&self.key, stored.clone(), stored.size()),
-            End::NotRun(..) => shard.memory.record_not_run(&self.key),
-            End::Unknown(_) => shard.memory.record_unknown(&self.key),
+        match &result {
+            RunResult::Answered(stored) => shard.store.record_answer(&self.key, stored.clone(), stored.size()),
+            RunResult::NotRun(..) => shard.store.record_not_run(&self.key),
+            RunResult::Unknown(_) => shard.store.record_unknown(&self.key),
         }
         shard.running.remove(&self.key);
         drop(shard);
-        sender.send_replace(Some(end));
+        sender.send_replace(Some(result));
     }
 
-    async fn run(&self, gateway: &Arc<Gateway>) -> End {
+    async fn run(&self, gateway: &Arc<Gateway>) -> RunResult {
         let service = &gateway.services[&gateway.classes[self.class].service];
-        match dispatch(service, &self.ask, &self.parts, body::whole(self.bytes.clone())).await {
-            Dispatched::Refused(refusal) => End::NotRun(refusal.reason.message().to_owned(), refusal.retry_after),
-            Dispatched::NotRun => End::NotRun("no instance of the service took it".to_owned(), service.retry_after()),
-            Dispatched::Unknown(why) => End::Unknown(why),
-            Dispatched::Answered(answer, held) => {
-                let (mut parts, body) = answer.into_parts();
-                clean(&mut parts.headers);
-                match read_whole(body, held, self.ask.deadline, gateway.keys.max_remembered).await {
-                    Ok(body) => End::Answered(Arc::new(Stored { status: parts.status, headers: parts.headers, body })),
-                    Err(Unread::Broken) => End::Unknown("the backend server's answer broke off".to_owned()),
-                    Err(Unread::Long) => {
-                        End::Unknown("it ran, but its answer is longer than can be remembered".to_owned())
+        match dispatch(service, &self.slot_request, &self.parts, body::whole(self.body.clone())).await {
+            DispatchOutcome::Refused(refusal) => {
+                RunResult::NotRun(refusal.reason.message().to_owned(), refusal.retry_after)
+            }
+            DispatchOutcome::NotRun => {
+                RunResult::NotRun("no instance of the service accepted the request".to_owned(), service.retry_after())
+            }
+            DispatchOutcome::Unknown(reason) => RunResult::Unknown(reason),
+            DispatchOutcome::Answered(response, pending) => {
+                let (mut parts, body) = response.into_parts();
+                strip_headers(&mut parts.headers);
+                match read_whole(body, pending, self.slot_request.deadline, gateway.keys.max_stored_response).await {
+                    Ok(body) => RunResult::Answered(Arc::new(StoredResponse {
+                        status: parts.status,
+                        headers: parts.headers,
+                        body,
+                    })),
+                    Err(ReadError::Incomplete) => {
+                        RunResult::Unknown("the response of the backend server is incomplete".to_owned())
+                    }
+                    Err(ReadError::TooLong) => {
+                        RunResult::Unknown("the request ran, but its response is too large to be stored".to_owned())
                     }
                 }
             }
--- a/components/gateway/src/lib.rs
+++ b/components/gateway/src/lib.rs
@@ -1,17 +1,17 @@
-//! The path of a caller's request: accept, classify, admit, route, dispatch, answer.
+//! The HTTP gateway for callers' requests: classification, admission, routing, dispatch and response.
 //!
-//! The decisions stand in the `request` package; here they meet sockets. A request is answered with one of
-//! three truths: the backend server's whole answer, "not run" (no byte of it can have reached a backend
-//! server), or "unknown". The header `walkhook-outcome` names the last two.
+//! The decisions are made by the `request` package; this package does the I/O. A request gets one of three kinds of
+//! response: the complete response of the backend server, "not run" (no byte of the request can have reached a
+//! backend server), or "unknown". The header `walkhook-outcome` marks the last two.
 
 mod accept;
-mod answer;
 mod body;
+mod connections;
 mod dispatch;
 mod handover;
 mod keyed;
-mod link;
 mod relay;
+mod response;
 mod service;
 mod state;
 
--- a/components/gateway/src/service.rs
+++ b/components/gateway/src/service.rs
@@ -1,4 +1,4 @@
-//! One service at one entry host: its queue, its instances and the requests that wait, under one lock.
+//! A service on one entry host: its instances, queue and waiting requests, under one lock.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,26 +11,26 @@
 };
 use tokio::sync::oneshot;
 
-use crate::link::Links;
+use crate::connections::Connections;
 
-/// Longest time that the slot of an abandoned request stays taken.
-const ABANDONED: Duration = Duration::from_secs(1);
+/// Longest time for which the slot of a request stays in use after its deadline.
+const MAX_RELEASE_DELAY: Duration = Duration::from_secs(1);
 
-type Grant = Result<TakenSlot, Refusal>;
+type SlotResult = Result<TakenSlot, Refusal>;
 
 struct State {
     pool: Pool,
     queue: Queue,
-    waiters: HashMap<Ticket, oneshot::Sender<Grant>>,
+    waiters: HashMap<Ticket, oneshot::Sender<SlotResult>>,
     budget: RetryBudget,
     instances: Vec<Instance>,
     hosts: Vec<HostId>,
 }
 
-/// A service that classes of requests lead to.
+/// A service to which request classes are routed.
 pub(crate) struct Service {
     state: Mutex<State>,
-    pub(crate) links: Links,
+    pub(crate) connections: Connections,
 }
 
 impl Service {
@@ -43,14 +43,14 @@
             instances: Vec::new(),
             hosts: Vec::new(),
         };
-        Service { state: Mutex::new(state), links: Links::default() }
+        Service { state: Mutex::new(state), connections: Connections::default() }
     }
 
     pub(crate) fn update_instances(&self, instances: Vec<Instance>, now: Instant) {
         let mut state = self.state.lock();
         state.instances = instances;
         state.update(now);
-        self.links.retain(&state.instances);
+        self.connections.retain(&state.instances);
     }
 
     pub(crate) fn update_hosts(&self, hosts: &[HostId], now: Instant) {
@@ -59,72 +59,78 @@
             state.hosts = hosts.to_vec();
             state.update(now);
         }
-        // Time passes too: shares that were gained earlier may be used now.
+        // Slots gained by an earlier change may have become usable since, even if the hosts are unchanged.
         state.grant_waiting(now);
     }
 
-    /// Waiting requests, and the slots that may be used and are.
+    /// The number of waiting requests, and this host's share of the slots with the number in use.
     pub(crate) fn load(&self) -> (usize, (u32, u32)) {
         let state = self.state.lock();
         (state.queue.len(), state.pool.capacity())
     }
 
-    /// Whether any instance is live in this data centre.
+    /// Whether this data centre has a live instance.
     pub(crate) fn has_instances(&self) -> bool {
         self.state.lock().pool.instances() > 0
     }
 
-    /// Takes a slot, at once or after waiting, or is refused.
-    pub(crate) async fn slot(self: &Arc<Self>, ask: &SlotRequest) -> Result<Slot, Refusal> {
+    /// Acquires a slot for a request, waiting in the queue if necessary.
+    pub(crate) async fn acquire_slot(self: &Arc<Self>, slot_request: &SlotRequest) -> Result<Slot, Refusal> {
         let now = Instant::now();
         let receiver = {
             let mut state = self.state.lock();
             if state.pool.instances() == 0 {
                 return Err(Refusal { reason: RefusalReason::NoInstance, retry_after: Duration::from_secs(1) });
             }
-            let room = state.room(now);
-            match state.queue.admit(ask, &room, now) {
+            let capacity = state.capacity(now);
+            match state.queue.admit(slot_request, &capacity, now) {
                 Admission::Refused(refusal) => return Err(refusal),
-                Admission::Run => return state.take(now).map(|pick| self.clone().guard(pick)),
+                Admission::Run => return state.take_slot(now).map(|taken| self.clone().slot_guard(taken)),
                 Admission::Wait(ticket) => {
                     let (sender, receiver) = oneshot::channel();
                     state.waiters.insert(ticket, sender);
-                    Waiter { service: self.clone(), ask: ask.clone(), ticket, receiver, settled: false }
+                    Waiter {
+                        service: self.clone(),
+                        slot_request: slot_request.clone(),
+                        ticket,
+                        receiver,
+                        finished: false,
+                    }
                 }
             }
         };
-        receiver.granted().await.map(|pick| self.clone().guard(pick))
+        receiver.wait().await.map(|taken| self.clone().slot_guard(taken))
     }
 
-    /// Takes another slot for a request that surely did not run on `failed`; `None` when the budget for
-    /// retries is spent or there is no other slot now.
-    pub(crate) fn another(self: &Arc<Self>, failed: &str) -> Option<Slot> {
+    /// Acquires a slot on another instance for a request that can't have run on `failed`. Returns `None` if the retry
+    /// budget is used up or no other slot is free.
+    pub(crate) fn acquire_retry_slot(self: &Arc<Self>, failed: &str) -> Option<Slot> {
         let now = Instant::now();
         let mut state = self.state.lock();
-        let pick = state.pool.take_slot(Some(failed), now)?;
+        let taken = state.pool.take_slot(Some(failed), now)?;
         if !state.budget.try_take() {
-            state.pool.return_unused(&pick);
+            state.pool.return_unused(&taken);
             return None;
         }
         drop(state);
-        Some(self.clone().guard(pick))
+        Some(self.clone().slot_guard(taken))
     }
 
-    /// When a refused caller should come back.
+    /// Time after which a refused caller should retry.
     pub(crate) fn retry_after(&self) -> Duration {
         let state = self.state.lock();
         let mean = state.pool.typical_seconds().map(Duration::from_secs_f64);
         state.queue.retry_after(state.pool.capacity().0, mean)
     }
 
-    fn guard(self: Arc<Self>, pick: TakenSlot) -> Slot {
-        Slot { service: self, pick, taken_at: Instant::now(), settled: false }
+    fn slot_guard(self: Arc<Self>, taken: TakenSlot) -> Slot {
+        Slot { service: self, taken, taken_at: Instant::now(), finished: false }
     }
 
-    fn done(&self, pick: &TakenSlot, took: Option<Duration>) {
+    fn release(&self, taken: &TakenSlot, took: Option<Duration>) {
         let now = Instant::now();
         let mut state = self.state.lock();
-        state.pool.release(pick, took, now);
+        state.pool.release(taken, took, now);
         if took.is_some() {
             state.budget.record_success();
         }
@@ -138,7 +144,7 @@
         self.grant_waiting(now);
     }
 
-    fn room(&mut self, now: Instant) -> Capacity {
+    fn capacity(&mut self, now: Instant) -> Capacity {
         let free = self.pool.has_free_slot(now);
         Capacity {
             slots: self.pool.capacity().0,
@@ -147,33 +153,33 @@
         }
     }
 
-    fn take(&mut self, now: Instant) -> Grant {
+    fn take_slot(&mut self, now: Instant) -> SlotResult {
         self.pool
             .take_slot(None, now)
             .ok_or(Refusal { reason: RefusalReason::NoShare, retry_after: Duration::from_secs(1) })
     }
 
-    /// Hands free slots to those that wait, and refuses those whose deadline came.
+    /// Assigns free slots to waiting requests, and refuses those whose deadline has passed.
     fn grant_waiting(&mut self, now: Instant) {
         while !self.queue.is_empty() {
-            let Some(pick) = self.pool.take_slot(None, now) else { return };
+            let Some(taken) = self.pool.take_slot(None, now) else { return };
             let mean = self.pool.typical_seconds().map(Duration::from_secs_f64);
-            let (next, late) = self.queue.next(mean, now);
-            self.refuse(late);
+            let (next, expired) = self.queue.next(mean, now);
+            self.refuse_expired(expired);
             let Some(sender) = next.and_then(|ticket| self.waiters.remove(&ticket)) else {
-                self.pool.return_unused(&pick);
+                self.pool.return_unused(&taken);
                 continue;
             };
-            if let Err(Ok(pick)) = sender.send(Ok(pick)) {
-                self.pool.return_unused(&pick);
+            if let Err(Ok(taken)) = sender.send(Ok(taken)) {
+                self.pool.return_unused(&taken);
             }
         }
     }
 
-    fn refuse(&mut self, late: Vec<Ticket>) {
+    fn refuse_expired(&mut self, expired: Vec<Ticket>) {
         let mean = self.pool.typical_seconds().map(Duration::from_secs_f64);
         let retry_after = self.queue.retry_after(self.pool.capacity().0, mean);
-        for ticket in late {
+        for ticket in expired {
             if let Some(sender) = self.waiters.remove(&ticket) {
                 let _ = sender.send(Err(Refusal { reason: RefusalReason::TooLate, retry_after }));
             }
@@ -181,22 +187,22 @@
     }
 }
 
-/// A request that waits; leaves the queue when its caller goes away.
+/// A waiting request. Dropping it, as when the caller disconnects, removes it from the queue.
 struct Waiter {
     service: Arc<Service>,
-    ask: SlotRequest,
+    slot_request: SlotRequest,
     ticket: Ticket,
-    receiver: oneshot::Receiver<Grant>,
-    settled: bool,
+    receiver: oneshot::Receiver<SlotResult>,
+    finished: bool,
 }
 
 impl Waiter {
-    async fn granted(mut self) -> Grant {
-        let deadline = tokio::time::Instant::from_std(self.ask.deadline);
+    async fn wait(mut self) -> SlotResult {
+        let deadline = tokio::time::Instant::from_std(self.slot_request.deadline);
         let outcome = tokio::time::timeout_at(deadline, &mut self.receiver).await;
-        if let Ok(Ok(grant)) = outcome {
-            self.settled = true;
-            return grant;
+        if let Ok(Ok(result)) = outcome {
+            self.finished = true;
+            return result;
         }
         let retry_after = self.service.retry_after();
         Err(Refusal { reason: RefusalReason::TooLate, retry_after })
@@ -205,56 +211,55 @@
 
 impl Drop for Waiter {
     fn drop(&mut self) {
-        if self.settled {
+        if self.finished {
             return;
         }
         let mut state = self.service.state.lock();
-        state.queue.remove(&self.ask, self.ticket);
+        state.queue.remove(&self.slot_request, self.ticket);
         state.waiters.remove(&self.ticket);
-        // A grant may have come at the last moment; its slot goes to the next.
-        if let Ok(Ok(pick)) = self.receiver.try_recv() {
-            state.pool.return_unused(&pick);
+        // A slot may have been assigned at the last moment; it goes to the next waiting request.
+        if let Ok(Ok(taken)) = self.receiver.try_recv() {
+            state.pool.return_unused(&taken);
             state.grant_waiting(Instant::now());
         }
     }
 }
 
-/// A slot in use. Dropped without an end, it counts as a failure of the instance.
+/// A slot in use. Dropping it without a complete response counts as a failure of the instance.
 pub(crate) struct Slot {
     service: Arc<Service>,
-    pub(crate) pick: TakenSlot,
+    pub(crate) taken: TakenSlot,
     taken_at: Instant,
-    settled: bool,
+    finished: bool,
 }
 
 impl Slot {
-    /// The service that it belongs to.
     pub(crate) fn service(&self) -> &Arc<Service> {
         &self.service
     }
 
-    /// The caller's time is up, but the instance may work on: its slot stays taken for as long as an answer
-    /// usually takes, so that it does not get more than it can run.
-    pub(crate) fn abandoned(self) {
+    /// Releases the slot after the usual time of a response. The instance may continue to work on a request after its
+    /// deadline, and must not get more requests than it can run.
+    pub(crate) fn release_later(self) {
         let mean = self.service.state.lock().pool.typical_seconds();
-        let pause = mean.map_or(ABANDONED, Duration::from_secs_f64).min(ABANDONED);
+        let delay = mean.map_or(MAX_RELEASE_DELAY, Duration::from_secs_f64).min(MAX_RELEASE_DELAY);
         tokio::spawn(async move {
-            tokio::time::sleep(pause).await;
+            tokio::time::sleep(delay).await;
             drop(self);
         });
     }
 
-    /// The instance answered whole.
-    pub(crate) fn answered(mut self) {
-        self.settled = true;
-        self.service.done(&self.pick, Some(self.taken_at.elapsed()));
+    /// Releases the slot after a complete response.
+    pub(crate) fn release_answered(mut self) {
+        self.finished = true;
+        self.service.release(&self.taken, Some(self.taken_at.elapsed()));
     }
 }
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        if !self.settled {
-            self.service.done(&self.pick, None);
+        if !self.finished {
+            self.service.release(&self.taken, None);
         }
     }
 }
--- a/components/gateway/src/state.rs
+++ b/components/gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! The state of the request path at one entry host.
+//! The shared state of the gateway of one entry host.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,57 +17,55 @@
 use web::Body;
 
 use crate::accept::Source;
-use crate::keyed::Keys;
+use crate::keyed::KeyShards;
 use crate::relay::Relay;
 use crate::service::Service;
 
-/// Teams that metrics and queues tell apart; others count together, so that callers can't fill the memory.
-const MOST_TEAMS: usize = 512;
-/// How far the clocks and views of two entry hosts, or a caller's clock, may differ.
-pub(crate) const SKEW: Duration = Duration::from_secs(2);
+/// Number of teams with their own metrics and queues. Further ones share the team `other`, so that callers can't
+/// exhaust the memory with team names.
+const MAX_TRACKED_TEAMS: usize = 512;
+/// Largest tolerated difference between the clocks (and host lists) of two entry hosts, or to the clock of a caller.
+pub(crate) const MAX_CLOCK_SKEW: Duration = Duration::from_secs(2);
 
 /// Another entry host that requests can be relayed to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelayHost {
-    /// Its name.
     pub host: HostId,
-    /// Its data centre.
     pub data_centre: DataCentreId,
-    /// Where it takes relayed requests.
+    /// Address for relayed requests.
     pub relay: SocketAddr,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub serving: bool,
 }
 
-/// The hosts as seen now.
+/// The entry hosts as currently known.
 #[derive(Clone, Debug, Default)]
 pub struct Topology {
-    /// Hosts of the own data centre that share the slots of its instances.
+    /// Hosts of this data centre that share the slots of its instances.
     pub slot_hosts: Vec<HostId>,
-    /// Hosts of the own data centre among which the keys are divided.
+    /// Hosts of this data centre among which the idempotency keys are partitioned.
     pub key_owners: Vec<HostId>,
-    /// Other hosts that can be reached.
+    /// Other entry hosts that are reachable, in all data centres.
     pub relay_hosts: Vec<RelayHost>,
-    /// Whether a quorum of the own data centre has heard this host lately.
+    /// Whether a quorum of this data centre has recently received messages from this host.
     pub has_quorum: bool,
 }
 
-/// How a class of requests fares here.
+/// Counters and current load of a request class on this host.
 #[derive(Clone, Debug)]
 pub struct ClassStats {
-    /// The class.
     pub class: ClassId,
     /// Requests answered by a backend server.
     pub answered: u64,
-    /// Requests refused as "not run".
+    /// Requests with the outcome "not run".
     pub not_run: u64,
-    /// Requests whose outcome is unknown.
+    /// Requests with the outcome "unknown".
     pub unknown: u64,
-    /// Requests waiting now.
+    /// Requests in the queue.
     pub waiting: usize,
-    /// Slots that this host may use.
+    /// This host's share of the slots.
     pub slots: u32,
-    /// Slots that it uses now.
+    /// Slots in use.
     pub in_use: u32,
 }
 
@@ -78,17 +76,17 @@
     pub(crate) unknown: AtomicU64,
 }
 
-/// The request path of one entry host.
+/// The gateway of one entry host.
 pub struct Gateway {
     pub(crate) data_centre: DataCentreId,
     pub(crate) data_centres: Vec<DataCentreId>,
     pub(crate) limits: settings::Requests,
     pub(crate) classes: Vec<Class>,
-    pub(crate) paths: Classes,
+    pub(crate) class_paths: Classes,
     pub(crate) counts: Vec<Counts>,
     pub(crate) services: BTreeMap<WorkloadId, Arc<Service>>,
-    pub(crate) keys: Keys,
-    pub(crate) home: Mutex<KeyOwnership>,
+    pub(crate) keys: KeyShards,
+    pub(crate) ownership: Mutex<KeyOwnership>,
     pub(crate) topology: RwLock<Topology>,
     pub(crate) relay: Relay,
     pub(crate) metrics: Metrics,
@@ -96,13 +94,12 @@
     teams: Mutex<BTreeSet<TeamId>>,
     leaving: AtomicBool,
     ready: AtomicBool,
-    /// Since when the hosts that share the slots have been what they are.
-    settled: Mutex<(Vec<HostId>, Instant)>,
-    settle: Duration,
+    /// The hosts that share the slots, and the time at which this set last changed.
+    slot_hosts_since: Mutex<(Vec<HostId>, Instant)>,
+    ready_after: Duration,
 }
 
 impl Gateway {
-    /// Creates the request path for an entry host with these settings.
     pub fn new(settings: &Settings, metrics: Metrics, log: Logger) -> Arc<Gateway> {
         let gain_after = settings.membership.dead_after;
         let service = || Arc::new(Service::new(settings.host.clone(), &settings.requests, gain_after));
@@ -111,12 +108,12 @@
             data_centre: settings.data_centre.clone(),
             data_centres: settings.data_centres.clone(),
             limits: settings.requests.clone(),
-            paths: Classes::new(settings.classes.iter().map(|class| class.path.as_str())),
+            class_paths: Classes::new(settings.classes.iter().map(|class| class.path.as_str())),
             counts: settings.classes.iter().map(|_| Counts::default()).collect(),
             classes: settings.classes.clone(),
             services,
-            keys: Keys::new(&settings.requests),
-            home: Mutex::new(KeyOwnership::new(settings.host.clone(), SKEW, SystemTime::now())),
+            keys: KeyShards::new(&settings.requests),
+            ownership: Mutex::new(KeyOwnership::new(settings.host.clone(), MAX_CLOCK_SKEW, SystemTime::now())),
             topology: RwLock::default(),
             relay: Relay::new(&settings.shared_key),
             metrics,
@@ -124,12 +121,12 @@
             teams: Mutex::default(),
             leaving: AtomicBool::new(false),
             ready: AtomicBool::new(false),
-            settled: Mutex::new((Vec::new(), Instant::now())),
-            settle: gain_after,
+            slot_hosts_since: Mutex::new((Vec::new(), Instant::now())),
+            ready_after: gain_after,
         })
     }
 
-    /// Takes in the live instances of each service.
+    /// Sets the live instances of each service.
     pub fn update_instances(&self, mut instances: BTreeMap<WorkloadId, Vec<Instance>>) {
         let now = Instant::now();
         for (name, service) in &self.services {
@@ -137,41 +134,41 @@
         }
     }
 
-    /// Takes in the hosts.
     pub fn update_hosts(&self, topology: Topology) {
         let now = Instant::now();
         for service in self.services.values() {
             service.update_hosts(&topology.slot_hosts, now);
         }
         {
-            let mut home = self.home.lock();
-            let wall = SystemTime::now();
-            home.update_hosts(topology.key_owners.clone(), wall);
-            if home.update_quorum(topology.has_quorum, wall) && !topology.has_quorum {
+            let mut ownership = self.ownership.lock();
+            let wall_clock = SystemTime::now();
+            ownership.update_hosts(topology.key_owners.clone(), wall_clock);
+            if ownership.update_quorum(topology.has_quorum, wall_clock) && !topology.has_quorum {
                 events::emit!(self.log, events::KEYS_UNCERTAIN);
             }
         }
-        self.note_settled(&topology.slot_hosts, now);
+        self.update_readiness(&topology.slot_hosts, now);
         *self.topology.write() = topology;
     }
 
-    /// A host that just started has no share of the slots until the other hosts can have seen it.
-    fn note_settled(&self, hosts: &[HostId], now: Instant) {
-        let mut settled = self.settled.lock();
-        if settled.0 != hosts {
-            *settled = (hosts.to_vec(), now);
+    /// Marks this host as ready once the set of hosts sharing the slots has been stable for `ready_after`: a new host
+    /// gets no share of the slots before the other hosts can have seen it.
+    fn update_readiness(&self, hosts: &[HostId], now: Instant) {
+        let mut slot_hosts_since = self.slot_hosts_since.lock();
+        if slot_hosts_since.0 != hosts {
+            *slot_hosts_since = (hosts.to_vec(), now);
         }
-        if now.duration_since(settled.1) >= self.settle {
+        if now.duration_since(slot_hosts_since.1) >= self.ready_after {
             self.ready.store(true, Ordering::Relaxed);
         }
     }
 
-    /// Whether the balancer may send requests here.
+    /// Whether the load balancer may send requests to this host.
     pub(crate) fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Relaxed)
     }
 
-    /// Tells the balancer that this host is on its way out. Requests are still served.
+    /// Makes the health check fail, so that the load balancer stops sending requests. Requests are still served.
     pub fn leave(&self) {
         self.leaving.store(true, Ordering::Relaxed);
     }
@@ -180,26 +177,28 @@
         self.leaving.load(Ordering::Relaxed)
     }
 
-    /// Answers a request that a caller sent to this host.
+    /// Handles a request received from a caller.
     pub async fn handle_caller_request(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
-        crate::accept::answer(&self, request, Source::Caller).await
+        crate::accept::handle(&self, request, Source::Caller).await
     }
 
-    /// Answers a request that another entry host relayed.
+    /// Handles a request relayed by another entry host.
     pub async fn handle_relayed_request(self: Arc<Self>, request: Request<Incoming>) -> Response<Body> {
         match self.relay.hops(&request) {
-            Some(hops) => crate::accept::answer(&self, request, Source::Host(hops)).await,
-            None => crate::answer::bad(http::StatusCode::UNAUTHORIZED, "relayed requests need the cell's shared key"),
+            Some(hops) => crate::accept::handle(&self, request, Source::Host(hops)).await,
+            None => {
+                crate::response::rejected(http::StatusCode::UNAUTHORIZED, "relayed requests need the cell's shared key")
+            }
         }
     }
 
-    /// How each class fares.
+    /// The counters and load of each request class.
     pub fn class_stats(&self) -> Vec<ClassStats> {
-        let mut lines = Vec::with_capacity(self.classes.len());
+        let mut stats = Vec::with_capacity(self.classes.len());
         for (class, counts) in self.classes.iter().zip(&self.counts) {
             let (waiting, (slots, in_use)) =
                 self.services.get(&class.service).map_or((0, (0, 0)), |service| service.load());
-            lines.push(ClassStats {
+            stats.push(ClassStats {
                 class: class.name.clone(),
                 answered: counts.answered.load(Ordering::Relaxed),
                 not_run: counts.not_run.load(Ordering::Relaxed),
@@ -209,16 +208,16 @@
                 in_use,
             });
         }
-        lines
+        stats
     }
 
-    /// The team as it is counted here.
-    pub(crate) fn team(&self, name: &str) -> TeamId {
+    /// The name under which a team is counted and queued: its own, or `other` above the limit.
+    pub(crate) fn tracked_team(&self, name: &str) -> TeamId {
         let mut teams = self.teams.lock();
         if teams.contains(name) {
             return name.to_owned();
         }
-        if teams.len() >= MOST_TEAMS {
+        if teams.len() >= MAX_TRACKED_TEAMS {
             return "other".to_owned();
         }
         teams.insert(name.to_owned());
