--- a/components/store/src/budget.rs
+++ b/components/store/src/budget.rs
@@ -1,30 +1,30 @@
-//! Each call to the platform is counted, and each use has its own rate, so that no use can starve another.
+//! Counts calls to the platform and limits their rate by purpose, so that no purpose can starve another.
 
 use std::time::Instant;
 
 use parking_lot::Mutex;
 
-/// What a call to the platform is for, most important first.
+/// The purpose of a call to the platform, most important first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Purpose {
     /// Reading and watching the configuration.
     Configuration,
     /// Claims on partitions.
     Claims,
-    /// Accepting operators' changes.
+    /// Committing operators' changes.
     Acceptance,
-    /// Recording ends of tasks.
+    /// Recording ended tasks.
     Ends,
-    /// The list of hosts.
+    /// Reading the list of hosts.
     Hosts,
 }
 
 impl Purpose {
-    /// All uses, in the order of their importance.
+    /// All purposes, most important first.
     pub const ALL: [Purpose; 5] =
         [Purpose::Configuration, Purpose::Claims, Purpose::Acceptance, Purpose::Ends, Purpose::Hosts];
 
-    /// Name in metrics.
+    /// The label value in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Purpose::Configuration => "configuration",
@@ -35,7 +35,7 @@
         }
     }
 
-    /// This use's part of the whole rate.
+    /// Fraction of the total rate that this purpose gets.
     fn share(self) -> f64 {
         match self {
             Purpose::Configuration => 0.25,
@@ -47,38 +47,38 @@
     }
 }
 
-/// Calls by use since the start.
+/// Number of calls since the start, by purpose.
 pub type Counts = [u64; Purpose::ALL.len()];
 
 struct Bucket {
     tokens: f64,
-    filled_at: Instant,
+    refilled_at: Instant,
     calls: u64,
 }
 
-/// A token bucket for each use. A bucket holds two seconds' worth, and at least two calls.
+/// Rate limiter with one token bucket per purpose. A bucket holds the calls of two seconds, but at least two calls.
 pub struct Budget {
     per_second: f64,
     buckets: [Mutex<Bucket>; Purpose::ALL.len()],
 }
 
 const BURST_SECONDS: f64 = 2.0;
-const SMALLEST_BURST: f64 = 2.0;
+const MIN_BURST: f64 = 2.0;
 
 impl Budget {
-    /// Creates full buckets that together refill by `per_second` calls.
+    /// Creates full buckets whose total refill rate is `per_second` calls.
     pub fn new(per_second: f64, now: Instant) -> Budget {
-        let bucket = |purpose: Purpose| Bucket { tokens: burst(per_second, purpose), filled_at: now, calls: 0 };
+        let bucket = |purpose: Purpose| Bucket { tokens: burst(per_second, purpose), refilled_at: now, calls: 0 };
         Budget { per_second, buckets: Purpose::ALL.map(|purpose| Mutex::new(bucket(purpose))) }
     }
 
-    /// Takes one call; false when the use has spent its part for now.
+    /// Takes a token for one call. Returns false if the bucket of this purpose is empty.
     pub fn try_take(&self, purpose: Purpose, now: Instant) -> bool {
         let mut bucket = self.buckets[purpose as usize].lock();
-        let elapsed = now.saturating_duration_since(bucket.filled_at).as_secs_f64();
-        let filled = bucket.tokens + elapsed * self.per_second * purpose.share();
-        bucket.tokens = filled.min(burst(self.per_second, purpose));
-        bucket.filled_at = now;
+        let elapsed = now.saturating_duration_since(bucket.refilled_at).as_secs_f64();
+        let tokens = bucket.tokens + elapsed * self.per_second * purpose.share();
+        bucket.tokens = tokens.min(burst(self.per_second, purpose));
+        bucket.refilled_at = now;
         if bucket.tokens < 1.0 {
             return false;
         }
@@ -87,12 +87,12 @@
         true
     }
 
-    /// Calls by use since the start.
+    /// Number of calls since the start, by purpose.
     pub fn counts(&self) -> Counts {
         Purpose::ALL.map(|purpose| self.buckets[purpose as usize].lock().calls)
     }
 }
 
 fn burst(per_second: f64, purpose: Purpose) -> f64 {
-    (per_second * purpose.share() * BURST_SECONDS).max(SMALLEST_BURST)
+    (per_second * purpose.share() * BURST_SECONDS).max(MIN_BURST)
 }
--- a/components/store/src/etcd.rs
+++ b/components/store/src/etcd.rs
@@ -1,4 +1,4 @@
-//! The client of the etcd v3 JSON gateway.
+//! Client of the etcd v3 JSON gateway.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,13 +19,13 @@
 };
 use crate::store::{Store, StoreError, WatchUpdate};
 
-const MAX_ANSWER: usize = 64 * 1024 * 1024;
-/// Longest line of a watch: a transaction of several large values.
-const MAX_LINE: usize = 16 * 1024 * 1024;
-/// Messages of a watch that may wait for their reader.
-const WATCH_QUEUE: usize = 64;
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
+/// Longest line of a watch stream: a transaction with several large values.
+const MAX_WATCH_LINE_BYTES: usize = 16 * 1024 * 1024;
+/// Number of updates of a watch that are buffered for the receiver.
+const WATCH_CHANNEL_CAPACITY: usize = 64;
 
-/// A platform behind an address.
+/// [`Store`] implementation for a platform at a fixed address.
 pub struct Client {
     http: web::Client,
     base: String,
@@ -33,26 +33,26 @@
 }
 
 impl Client {
-    /// Creates a client; each call but a watch ends after `timeout` and takes from `budget`.
+    /// Creates a client whose calls are limited by `budget`. Calls other than watches time out after `timeout`.
     pub fn new(address: SocketAddr, timeout: Duration, budget: Arc<Budget>) -> Client {
-        Client { http: web::Client::new(timeout, MAX_ANSWER), base: format!("http://{address}/v3"), budget }
+        Client { http: web::Client::new(timeout, MAX_RESPONSE_BYTES), base: format!("http://{address}/v3"), budget }
     }
 
-    async fn call<Q: Serialize, A: DeserializeOwned>(
+    async fn call<Q: Serialize, R: DeserializeOwned>(
         &self,
         purpose: Purpose,
         path: &str,
         body: &Q,
-    ) -> Result<A, StoreError> {
+    ) -> Result<R, StoreError> {
         if !self.budget.try_take(purpose, Instant::now()) {
             return Err(StoreError::OverBudget);
         }
-        self.http.post(&format!("{}{path}", self.base), body).await.map_err(from_web)
+        self.http.post(&format!("{}{path}", self.base), body).await.map_err(convert_error)
     }
 
     async fn read(&self, purpose: Purpose, request: &RangeRequest) -> Result<Range, StoreError> {
-        let answer: RangeResponse = self.call(purpose, "/kv/range", request).await?;
-        Ok(Range { entries: answer.kvs.into_iter().map(entry).collect(), revision: answer.header.revision.0 })
+        let response: RangeResponse = self.call(purpose, "/kv/range", request).await?;
+        Ok(Range { entries: response.kvs.into_iter().map(entry).collect(), revision: response.header.revision.0 })
     }
 }
 
@@ -66,28 +66,28 @@
     async fn get(&self, purpose: Purpose, key: &str) -> Result<Entry, StoreError> {
         let request = RangeRequest { key: Base64::text(key), range_end: Base64::default() };
         let range = self.read(purpose, &request).await?;
-        let missing = Entry { key: key.to_owned(), value: Vec::new(), mod_revision: 0 };
-        Ok(range.entries.into_iter().next().unwrap_or(missing))
+        let absent = Entry { key: key.to_owned(), value: Vec::new(), mod_revision: 0 };
+        Ok(range.entries.into_iter().next().unwrap_or(absent))
     }
 
     async fn txn(&self, purpose: Purpose, txn: &Txn) -> Result<TxnOutcome, StoreError> {
         if let Some(put) = txn.puts.iter().find(|put| put.value.len() > MAX_VALUE) {
             return Err(StoreError::TooLarge(put.key.clone(), put.value.len()));
         }
-        let answer: TxnResponse = self.call(purpose, "/kv/txn", &encode(txn)).await?;
-        Ok(TxnOutcome { succeeded: answer.succeeded, revision: answer.header.revision.0 })
+        let response: TxnResponse = self.call(purpose, "/kv/txn", &encode(txn)).await?;
+        Ok(TxnOutcome { succeeded: response.succeeded, revision: response.header.revision.0 })
     }
 
     async fn grant(&self, purpose: Purpose, ttl: Duration) -> Result<Lease, StoreError> {
         let request = LeaseRequest { ttl: Number(ttl.as_secs().max(1)), id: Number(0) };
-        let answer: LeaseResponse = self.call(purpose, "/lease/grant", &request).await?;
-        Ok(answer.id.0)
+        let response: LeaseResponse = self.call(purpose, "/lease/grant", &request).await?;
+        Ok(response.id.0)
     }
 
     async fn keepalive(&self, purpose: Purpose, lease: Lease) -> Result<bool, StoreError> {
         let request = LeaseRequest { ttl: Number(0), id: Number(lease) };
-        let answer: LeaseResponse = self.call(purpose, "/lease/keepalive", &request).await?;
-        Ok(answer.ttl.0 > 0)
+        let response: LeaseResponse = self.call(purpose, "/lease/keepalive", &request).await?;
+        Ok(response.ttl.0 > 0)
     }
 
     async fn revoke(&self, purpose: Purpose, lease: Lease) -> Result<(), StoreError> {
@@ -112,16 +112,16 @@
             progress_notify: true,
         };
         let request = WatchRequest { create_request: create };
-        let body = self.http.stream(&format!("{}/watch", self.base), &request).await.map_err(from_web)?;
-        let (sender, receiver) = mpsc::channel(WATCH_QUEUE);
-        tokio::spawn(follow(body, sender));
+        let body = self.http.stream(&format!("{}/watch", self.base), &request).await.map_err(convert_error)?;
+        let (sender, receiver) = mpsc::channel(WATCH_CHANNEL_CAPACITY);
+        tokio::spawn(forward_updates(body, sender));
         Ok(receiver)
     }
 }
 
-/// Splits the stream into lines and sends each as changes, until either side ends.
-async fn follow(mut body: Incoming, sender: mpsc::Sender<WatchUpdate>) {
-    let mut pending: Vec<u8> = Vec::new();
+/// Decodes the lines of a watch stream and sends them as updates, until either side ends.
+async fn forward_updates(mut body: Incoming, sender: mpsc::Sender<WatchUpdate>) {
+    let mut buffer: Vec<u8> = Vec::new();
     loop {
         let frame = tokio::select! {
             frame = body.frame() => frame,
@@ -129,21 +129,21 @@
         };
         let Some(Ok(frame)) = frame else { return };
         let Ok(data) = frame.into_data() else { continue };
-        pending.extend_from_slice(&data);
-        if pending.len() > MAX_LINE {
+        buffer.extend_from_slice(&data);
+        if buffer.len() > MAX_WATCH_LINE_BYTES {
             return;
         }
-        while let Some(end) = pending.iter().position(|byte| *byte == b'\n') {
-            let line: Vec<u8> = pending.drain(..=end).collect();
-            let Some(changes) = decode(&line) else { return };
-            if sender.send(changes).await.is_err() {
+        while let Some(end) = buffer.iter().position(|byte| *byte == b'\n') {
+            let line: Vec<u8> = buffer.drain(..=end).collect();
+            let Some(update) = decode(&line) else { return };
+            if sender.send(update).await.is_err() {
                 return;
             }
         }
     }
 }
 
-/// `None` when the line can't be read or says that the watch has ended.
+/// Decodes a line of a watch stream. Returns `None` if it is invalid or ends the watch.
 fn decode(line: &[u8]) -> Option<WatchUpdate> {
     let line: WatchLine = serde_json::from_slice(line).ok()?;
     let result = line.result;
@@ -190,9 +190,10 @@
     })
 }
 
-/// A status of 4xx is the service's own refusal; any other fault after sending leaves the effect open.
-fn from_web(fault: web::ClientError) -> StoreError {
-    match fault {
+/// A 4xx status means that the service refused the call. After any other error the call may have taken effect, unless
+/// it was not sent.
+fn convert_error(error: web::ClientError) -> StoreError {
+    match error {
         web::ClientError::NotSent(message) => StoreError::NotSent(message),
         web::ClientError::Status { status, body } if status.is_client_error() => StoreError::Refused(body),
         other => StoreError::Unknown(other.to_string()),
--- a/components/store/src/gateway.rs
+++ b/components/store/src/gateway.rs
@@ -1,5 +1,5 @@
-//! The JSON bodies of the etcd v3 gateway, the subset in use. Keys and values travel in base64, 64-bit
-//! numbers as strings. The stand-in platform reads and writes the same types.
+//! JSON types of the etcd v3 gateway, limited to the fields in use. Keys and values are encoded in base64, 64-bit
+//! numbers as strings. The fake platform of the tests uses the same types.
 
 use std::collections::BTreeMap;
 
@@ -8,199 +8,184 @@
 use serde::de::Error;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Largest value that the platform keeps, in bytes.
+/// Largest value that the platform accepts, in bytes.
 pub const MAX_VALUE: usize = 1024 * 1024;
 
 /// A key with its value and revisions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// The key.
     pub key: String,
-    /// The value.
     pub value: Vec<u8>,
-    /// Revision of the last change; 0 for a key that is not there.
+    /// Revision of the last change; 0 if the key does not exist.
     pub mod_revision: u64,
 }
 
-/// All keys with a prefix, as of one revision.
+/// All keys with a prefix, at one revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Range {
-    /// The entries.
     pub entries: Vec<Entry>,
-    /// The revision of the whole store.
+    /// Revision of the store at which the keys were read.
     pub revision: u64,
 }
 
-/// A condition of a transaction: the key's last change was at this revision (0: the key is not there).
+/// A condition of a transaction: the last change of the key has this revision (0 if the key does not exist).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Compare {
-    /// The key.
     pub key: String,
     /// The expected revision.
     pub mod_revision: u64,
 }
 
-/// A write of a transaction.
+/// A put of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Put {
-    /// The key.
     pub key: String,
-    /// The value.
     pub value: Vec<u8>,
-    /// The lease that it ends with; 0 for none.
+    /// The lease that the key is attached to; 0 for none.
     pub lease: u64,
 }
 
-/// A transaction: all puts and deletes when all compares hold, else nothing.
+/// A transaction: if all conditions hold, all puts and deletes are executed, otherwise none.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Txn {
-    /// Conditions.
     pub compares: Vec<Compare>,
-    /// Writes.
     pub puts: Vec<Put>,
-    /// Deleted keys.
+    /// Keys to delete.
     pub deletes: Vec<String>,
 }
 
-/// How a transaction went.
+/// The result of a transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TxnOutcome {
-    /// Whether all compares held.
+    /// Whether all conditions held.
     pub succeeded: bool,
-    /// The store's revision after it.
+    /// Revision of the store after the transaction.
     pub revision: u64,
 }
 
 /// Id of a lease.
 pub type Lease = u64;
 
-/// A change seen by a watch.
+/// A change reported by a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// The key.
     pub key: String,
-    /// The new value; `None` when it was deleted.
+    /// The new value; `None` if the key was deleted.
     pub value: Option<Vec<u8>>,
     /// Revision of the change.
     pub revision: u64,
 }
 
-/// Bytes in base64.
+/// Bytes that are encoded in base64.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Base64(pub Vec<u8>);
 
 impl Base64 {
-    /// Encodes a text.
     pub fn text(text: &str) -> Base64 {
         Base64(text.as_bytes().to_vec())
     }
 
-    /// The bytes as text; broken characters are replaced.
+    /// The bytes as a string; invalid UTF-8 sequences are replaced.
     pub fn to_text(&self) -> String {
         String::from_utf8_lossy(&self.0).into_owned()
     }
 }
 
 impl Serialize for Base64 {
-    fn serialize<S: Serializer>(&self, out: S) -> Result<S::Ok, S::Error> {
-        out.serialize_str(&STANDARD.encode(&self.0))
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.serialize_str(&STANDARD.encode(&self.0))
     }
 }
 
 impl<'de> Deserialize<'de> for Base64 {
-    fn deserialize<D: Deserializer<'de>>(input: D) -> Result<Base64, D::Error> {
-        let text = String::deserialize(input)?;
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Base64, D::Error> {
+        let text = String::deserialize(deserializer)?;
         STANDARD.decode(text).map(Base64).map_err(D::Error::custom)
     }
 }
 
-/// A 64-bit number, which the gateway writes as a string and accepts as either.
+/// A 64-bit number. The gateway writes it as a string and accepts a string or a number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Number(pub u64);
 
 impl Serialize for Number {
-    fn serialize<S: Serializer>(&self, out: S) -> Result<S::Ok, S::Error> {
-        out.collect_str(&self.0)
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.collect_str(&self.0)
     }
 }
 
 impl<'de> Deserialize<'de> for Number {
-    fn deserialize<D: Deserializer<'de>>(input: D) -> Result<Number, D::Error> {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Number, D::Error> {
         #[derive(Deserialize)]
         #[serde(untagged)]
-        enum Either {
+        enum StringOrNumber {
             Text(String),
             Bare(u64),
         }
-        match Either::deserialize(input)? {
-            Either::Text(text) => text.parse().map(Number).map_err(D::Error::custom),
-            Either::Bare(number) => Ok(Number(number)),
+        match StringOrNumber::deserialize(deserializer)? {
+            StringOrNumber::Text(text) => text.parse().map(Number).map_err(D::Error::custom),
+            StringOrNumber::Bare(number) => Ok(Number(number)),
         }
     }
 }
 
-/// Header of an answer.
+/// Header of a response.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Header {
-    /// The store's revision.
+    /// Revision of the store.
     pub revision: Number,
 }
 
-/// A key and its value in an answer.
+/// A key and its value in a response.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct KeyValue {
-    /// The key.
     pub key: Base64,
-    /// The value; left out when empty.
+    /// The value; omitted if empty.
     pub value: Base64,
     /// Revision of the last change.
     pub mod_revision: Number,
 }
 
-/// Body of `/v3/kv/range`.
+/// Body of a request to `/v3/kv/range`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RangeRequest {
     /// First key.
     pub key: Base64,
-    /// First key beyond the range; empty for one key.
+    /// End of the range (exclusive); empty to read only `key`.
     pub range_end: Base64,
 }
 
-/// Answer of `/v3/kv/range`.
+/// Response of `/v3/kv/range`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RangeResponse {
-    /// Header.
     pub header: Header,
-    /// Keys found.
+    /// The keys in the range.
     pub kvs: Vec<KeyValue>,
 }
 
-/// A condition of `/v3/kv/txn`; always "the revision of the key's last change equals".
+/// A condition of `/v3/kv/txn`; always "the `mod_revision` of the key equals".
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CompareRequest {
-    /// The key.
     pub key: Base64,
-    /// `MOD`.
+    /// Always `MOD`.
     pub target: String,
-    /// `EQUAL`.
+    /// Always `EQUAL`.
     pub result: String,
     /// The expected revision.
     pub mod_revision: Number,
 }
 
-/// A write of `/v3/kv/txn`.
+/// A put of `/v3/kv/txn`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PutRequest {
-    /// The key.
     pub key: Base64,
-    /// The value.
     pub value: Base64,
-    /// Its lease.
+    /// The lease that the key is attached to; 0 for none.
     pub lease: Number,
 }
 
@@ -208,92 +193,83 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct DeleteRequest {
-    /// The key.
     pub key: Base64,
 }
 
-/// One operation of `/v3/kv/txn`.
+/// An operation of `/v3/kv/txn`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Operation {
-    /// Write.
     #[serde(rename = "request_put")]
     Put(PutRequest),
-    /// Delete.
     #[serde(rename = "request_delete_range")]
     Delete(DeleteRequest),
 }
 
-/// Body of `/v3/kv/txn`.
+/// Body of a request to `/v3/kv/txn`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TxnRequest {
-    /// Conditions.
     pub compare: Vec<CompareRequest>,
-    /// Done when all hold.
+    /// Operations to execute if all conditions hold.
     pub success: Vec<Operation>,
 }
 
-/// Answer of `/v3/kv/txn`.
+/// Response of `/v3/kv/txn`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TxnResponse {
-    /// Header.
     pub header: Header,
-    /// Whether all conditions held; left out when false.
+    /// Whether all conditions held; omitted if false.
     pub succeeded: bool,
 }
 
-/// Body of `/v3/lease/grant`, `/v3/lease/keepalive` and `/v3/lease/revoke`.
+/// Body of requests to `/v3/lease/grant`, `/v3/lease/keepalive` and `/v3/lease/revoke`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LeaseRequest {
-    /// Seconds to live, for a grant.
+    /// Time to live in seconds; only used by `grant`.
     #[serde(rename = "TTL")]
     pub ttl: Number,
-    /// The lease.
     #[serde(rename = "ID")]
     pub id: Number,
 }
 
-/// Answer of `/v3/lease/*`.
+/// Response of `/v3/lease/*`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LeaseResponse {
-    /// The lease.
     #[serde(rename = "ID")]
     pub id: Number,
-    /// Seconds left; 0 when it has lapsed.
+    /// Remaining time to live in seconds; 0 if the lease has expired.
     #[serde(rename = "TTL")]
     pub ttl: Number,
 }
 
-/// Body of `/v3/watch`.
+/// Body of a request to `/v3/watch`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchRequest {
-    /// What to watch.
     pub create_request: WatchCreate,
 }
 
-/// What to watch.
+/// Parameters of a watch.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchCreate {
     /// First key.
     pub key: Base64,
-    /// First key beyond the range.
+    /// End of the range (exclusive).
     pub range_end: Base64,
-    /// First revision wanted.
+    /// First revision to report.
     pub start_revision: Number,
-    /// Whether to send empty messages from time to time, which tell how far the watch has come.
+    /// Whether to send messages without events at intervals, which show the revision that the watch has reached.
     pub progress_notify: bool,
 }
 
-/// One line of a watch's answer.
+/// A line of the response stream of a watch.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchLine {
-    /// The message.
     pub result: WatchResult,
 }
 
@@ -301,41 +277,38 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchResult {
-    /// Header.
     pub header: Header,
     /// Changes, in the order of their revisions.
     pub events: Vec<WatchEvent>,
     /// Whether the watch has ended.
     pub canceled: bool,
-    /// The oldest revision that can still be watched, when the wanted one has been compacted.
+    /// The oldest available revision, if the requested one has been compacted.
     pub compact_revision: Number,
 }
 
-/// One change.
+/// A change.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchEvent {
-    /// `DELETE`, or left out for a put.
+    /// `DELETE`; omitted for a put.
     #[serde(rename = "type")]
     pub kind: String,
-    /// The key and value.
     pub kv: KeyValue,
 }
 
-/// An error body.
+/// Body of an error response.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ErrorBody {
     /// gRPC status code.
     pub code: u32,
-    /// Words.
     pub message: String,
-    /// Anything else.
+    /// All other fields.
     #[serde(flatten)]
     pub rest: BTreeMap<String, serde_json::Value>,
 }
 
-/// The first key beyond all keys with this prefix.
+/// The end (exclusive) of the range of all keys with this prefix.
 pub fn range_end(prefix: &str) -> Vec<u8> {
     let mut end = prefix.as_bytes().to_vec();
     while let Some(last) = end.pop() {
--- a/components/store/src/lib.rs
+++ b/components/store/src/lib.rs
@@ -1,8 +1,9 @@
-//! The edge to the platform: its key-value service (compare-and-swap, leases, watches) and its lagging list
-//! of hosts.
+//! Client of the platform: its key-value service (compare-and-swap, leases, watches) and its list of hosts, which lags
+//! behind the actual state.
 //!
-//! Spoken here: the published JSON gateway of etcd v3. Every call is counted and takes from a budget by use.
-//! A change whose answer is lost is reported as unknown and never repeated blindly: the caller reads back.
+//! The protocol is the JSON gateway of etcd v3. Calls are counted and rate limited by purpose. The outcome of a change
+//! whose response is lost is reported as unknown; the change is not retried, since the caller must read the state
+//! first.
 
 mod budget;
 mod etcd;
--- a/components/store/src/list.rs
+++ b/components/store/src/list.rs
@@ -1,4 +1,4 @@
-//! The platform's lagging list of live and leaving hosts.
+//! The platform's list of live and leaving hosts. The list lags behind their actual state.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,56 +11,49 @@
 use crate::budget::{Budget, Purpose};
 use crate::store::StoreError;
 
-const MAX_LIST: usize = 4 * 1024 * 1024;
+const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
 
-/// What a host of the list is.
+/// Kind of a host in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostKind {
-    /// A worker.
     Worker,
-    /// An entry host.
     Entry,
 }
 
-/// One host of the list.
+/// A host in the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
-    /// Name.
     pub name: HostId,
-    /// What it is.
     pub kind: HostKind,
-    /// Data centre.
     pub data_centre: DataCentreId,
-    /// Rack.
     pub rack: RackId,
-    /// Address by IP number.
+    /// IP address and port.
     pub address: SocketAddr,
-    /// All that a worker offers; nothing for an entry host.
+    /// Total resources of a worker; zero for an entry host.
     #[serde(default)]
     pub capacity: Resources,
-    /// On its way out.
+    /// Whether the host is being removed.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// The whole list.
+/// The list of hosts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct List {
-    /// Grows with each change of the list.
+    /// Increases with each change of the list.
     pub version: u64,
-    /// The hosts.
     pub hosts: Vec<Host>,
 }
 
-/// Reads the list. A trait, because the users' own platform may speak another dialect.
+/// Reads the list of hosts. This is a trait because platforms may provide the list over different protocols.
 #[async_trait]
 pub trait HostLister: Send + Sync {
-    /// The list as the platform has it now; without hosts when its version is still `known`.
+    /// Reads the current list. Its hosts are left out if its version is still `known`.
     async fn list(&self, known: u64) -> Result<List, StoreError>;
 }
 
-/// Reads the list by `GET /v1/hosts?known=VERSION` from the platform's address.
+/// Reads the list with `GET /v1/hosts?known=VERSION`.
 pub struct ListClient {
     http: web::Client,
     url: String,
@@ -68,9 +61,13 @@
 }
 
 impl ListClient {
-    /// Creates a reader; each call ends after `timeout` and takes from `budget`.
+    /// Creates a client whose calls time out after `timeout` and are limited by `budget`.
     pub fn new(address: SocketAddr, timeout: Duration, budget: Arc<Budget>) -> ListClient {
-        ListClient { http: web::Client::new(timeout, MAX_LIST), url: format!("http://{address}/v1/hosts"), budget }
+        ListClient {
+            http: web::Client::new(timeout, MAX_LIST_BYTES),
+            url: format!("http://{address}/v1/hosts"),
+            budget,
+        }
     }
 }
 
@@ -83,6 +80,6 @@
         self.http
             .get(&format!("{}?known={known}", self.url))
             .await
-            .map_err(|fault| StoreError::Unknown(fault.to_string()))
+            .map_err(|error| StoreError::Unknown(error.to_string()))
     }
 }
