--- a/components/node/src/membership.rs
+++ b/components/node/src/membership.rs
@@ -263,7 +263,7 @@
     let now = Instant::now();
     let (configuration, facts) = (shared.configuration.revision(), shared.facts.own_version());
     let digest = shared.membership.digest(&shared.settings.cell, configuration, facts, now);
-    let Ok(bytes) = wire::seal(shared.peer_client.key(), &digest) else { return };
+    let Ok(bytes) = wire::encode(shared.peer_client.key(), &digest) else { return };
     for target in shared.membership.targets(&shared.settings.seeds, now) {
         // Errors are ignored because the next digest makes up for a lost one.
         let _ = socket.send_to(&bytes, target).await;
@@ -293,7 +293,7 @@
     loop {
         let Ok((length, peer)) = socket.recv_from(&mut buffer).await else { continue };
         shared.metrics.control("digest_received", length);
-        match wire::open::<Digest>(shared.peer_client.key(), &buffer[..length]) {
+        match wire::decode::<Digest>(shared.peer_client.key(), &buffer[..length]) {
             Ok(digest) if digest.cell == shared.settings.cell => handle_digest(&shared, &digest),
             Ok(_) => {}
             Err(error) => {
--- a/components/node/src/peers.rs
+++ b/components/node/src/peers.rs
@@ -77,9 +77,9 @@
     }
 
     async fn send_over(&self, stream: &mut TcpStream, request: &Request) -> std::io::Result<Answer> {
-        let sent = wire::write(stream, &self.key, request).await?;
+        let sent = wire::write_frame(stream, &self.key, request).await?;
         self.metrics.control("peer_sent", sent);
-        let answer = wire::read(stream, &self.key).await?;
+        let answer = wire::read_frame(stream, &self.key).await?;
         let (answer, received) = answer.ok_or(std::io::ErrorKind::UnexpectedEof)?;
         self.metrics.control("peer_received", received);
         Ok(answer)
@@ -119,7 +119,7 @@
 async fn serve_connection(shared: &Arc<Shared>, mut stream: TcpStream, peer: SocketAddr) {
     let key = shared.peer_client.key().clone();
     loop {
-        let read = tokio::time::timeout(IDLE_TIMEOUT, wire::read::<Request>(&mut stream, &key)).await;
+        let read = tokio::time::timeout(IDLE_TIMEOUT, wire::read_frame::<Request>(&mut stream, &key)).await;
         let request = match read {
             Ok(Ok(Some((request, _)))) => request,
             Ok(Err(error)) if error.kind() == std::io::ErrorKind::InvalidData => {
@@ -129,7 +129,7 @@
             _ => return,
         };
         let answer = crate::answer::answer(shared, request).await;
-        if wire::write(&mut stream, &key, &answer).await.is_err() {
+        if wire::write_frame(&mut stream, &key, &answer).await.is_err() {
             return;
         }
     }
--- a/components/node/src/stop.rs
+++ b/components/node/src/stop.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use member::Presence;
-use wire::{Answer, RememberedKey, Request};
+use wire::{Answer, KeyRecord, Request};
 
 use crate::shared::Shared;
 
@@ -58,7 +58,7 @@
 
 /// Splits keys into batches that are well below the maximum size of a frame. Always returns at least one batch, so that
 /// a host that gets no keys is informed as well.
-fn split_into_batches(keys: Vec<RememberedKey>) -> Vec<Vec<RememberedKey>> {
+fn split_into_batches(keys: Vec<KeyRecord>) -> Vec<Vec<KeyRecord>> {
     let mut batches = vec![Vec::new()];
     let mut size = 0;
     for key in keys {
--- a/components/wire/src/frame.rs
+++ b/components/wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! Reads and writes sealed messages on a byte stream, each after its length.
+//! Reads and writes messages on a byte stream as frames: the length in 4 bytes (big-endian), then the message.
 
 use std::io;
 
@@ -6,50 +6,63 @@
 use serde::de::DeserializeOwned;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-use crate::seal::{Key, MessageError, open, seal};
+use crate::codec::{Key, MessageError, decode, encode};
 
 /// Largest frame accepted, in bytes.
 pub const MAX_FRAME: usize = 8 * 1024 * 1024;
 
-/// Writes one frame. Returns the bytes written.
-pub async fn write<T: Serialize>(stream: &mut (impl AsyncWrite + Unpin), key: &Key, message: &T) -> io::Result<usize> {
-    let bytes = seal(key, message).map_err(refused)?;
+/// Writes a message as one frame. Returns the number of bytes written.
+///
+/// # Errors
+///
+/// Returns an error if the message can't be encoded or exceeds [`MAX_FRAME`], or if writing fails.
+pub async fn write_frame<T: Serialize>(
+    stream: &mut (impl AsyncWrite + Unpin),
+    key: &Key,
+    message: &T,
+) -> io::Result<usize> {
+    let bytes = encode(key, message).map_err(invalid_data)?;
     if bytes.len() > MAX_FRAME {
-        return Err(refused(MessageError::Large));
+        return Err(invalid_data(MessageError::Large));
     }
-    let mut framed = Vec::with_capacity(4 + bytes.len());
-    framed.extend_from_slice(&(bytes.len() as u32).to_be_bytes());
-    framed.extend_from_slice(&bytes);
-    stream.write_all(&framed).await?;
+    let mut frame = Vec::with_capacity(4 + bytes.len());
+    frame.extend_from_slice(&(bytes.len() as u32).to_be_bytes());
+    frame.extend_from_slice(&bytes);
+    stream.write_all(&frame).await?;
     stream.flush().await?;
-    Ok(framed.len())
+    Ok(frame.len())
 }
 
-/// Reads one frame; `None` when the stream ends between frames.
-pub async fn read<T: DeserializeOwned>(
+/// Reads one frame. Returns its message and size in bytes, or `None` if the stream ends between frames.
+///
+/// # Errors
+///
+/// Returns an error if reading fails, the stream ends within a frame, the frame exceeds [`MAX_FRAME`], or the message
+/// is rejected by [`decode`].
+pub async fn read_frame<T: DeserializeOwned>(
     stream: &mut (impl AsyncRead + Unpin),
     key: &Key,
 ) -> io::Result<Option<(T, usize)>> {
     let mut length = [0; 4];
     match stream.read_exact(&mut length).await {
         Ok(_) => {}
-        Err(fault) if fault.kind() == io::ErrorKind::UnexpectedEof => return Ok(None),
-        Err(fault) => return Err(fault),
+        Err(error) if error.kind() == io::ErrorKind::UnexpectedEof => return Ok(None),
+        Err(error) => return Err(error),
     }
     let length = u32::from_be_bytes(length) as usize;
     if length > MAX_FRAME {
-        return Err(refused(MessageError::Large));
+        return Err(invalid_data(MessageError::Large));
     }
-    // Grows with what really arrives: a length alone reserves nothing.
+    // The buffer grows as data arrives, so that a large announced length alone allocates nothing.
     let mut bytes = Vec::new();
-    let taken = stream.take(length as u64).read_to_end(&mut bytes).await?;
-    if taken < length {
+    let received = stream.take(length as u64).read_to_end(&mut bytes).await?;
+    if received < length {
         return Err(io::ErrorKind::UnexpectedEof.into());
     }
-    let message = open(key, &bytes).map_err(refused)?;
+    let message = decode(key, &bytes).map_err(invalid_data)?;
     Ok(Some((message, 4 + length)))
 }
 
-fn refused(fault: MessageError) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, fault)
+fn invalid_data(error: MessageError) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, error)
 }
--- a/components/wire/src/message.rs
+++ b/components/wire/src/message.rs
@@ -1,4 +1,6 @@
-//! The messages that entry hosts exchange over TCP, and the facts and configuration they carry.
+//! Messages between entry hosts over TCP, with the facts and configuration that they contain.
+//!
+//! The types are serialized with `postcard`: order, number and types of fields and variants are part of the protocol.
 
 use std::net::SocketAddr;
 
@@ -7,52 +9,45 @@
 use model::{DataCentreId, Epoch, HostId, Partition, RackId, Resources, Revision, WorkerId, WorkloadId};
 use serde::{Deserialize, Serialize};
 
-/// A key of the configuration: the platform's key below the cell's prefix.
+/// A configuration key: the platform's key without the cell's prefix.
 pub type ConfigKey = String;
-/// A value of the configuration, as it stands in the platform's key-value service.
+/// A configuration value, as stored in the platform's key-value service.
 pub type ConfigValue = Vec<u8>;
 
-/// What a line of the platform's list names.
+/// Kind of a host in the platform's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HostKind {
-    /// A worker that runs tasks.
     Worker,
-    /// An entry host.
     Entry,
 }
 
-/// One line of the platform's lagging list of hosts.
+/// A host in the platform's list, which lags behind the actual state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedHost {
-    /// Worker or entry host.
     pub kind: HostKind,
-    /// Data centre.
     pub data_centre: DataCentreId,
-    /// Rack.
     pub rack: RackId,
-    /// Address by IP number.
+    /// IP address and port.
     pub address: SocketAddr,
-    /// All that a worker offers.
+    /// Total resources of a worker; zero for an entry host.
     pub capacity: Resources,
-    /// On its way out.
+    /// Whether the host is being removed.
     pub leaving: bool,
 }
 
-/// Key of a fact that an entry host publishes.
+/// Key of a fact published by an entry host.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum FactKey {
     /// A worker that the host holds.
     Worker(WorkerId),
-    /// An attempt on a worker that the host holds.
+    /// A task attempt on a worker that the host holds.
     Task(Id, Attempt),
 }
 
-/// A fact that an entry host publishes.
+/// A fact published by an entry host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Fact {
-    /// About a worker.
     Worker(WorkerFact),
-    /// About an attempt.
     Task(TaskFact),
 }
 
@@ -61,229 +56,202 @@
 pub struct WorkerFact {
     /// Epoch of the hold.
     pub epoch: Epoch,
-    /// All that the worker offers.
+    /// Total resources of the worker.
     pub capacity: Resources,
-    /// Neither committed to a task nor kept for a workload.
+    /// Resources neither committed to a task nor reserved for a workload.
     pub free: Resources,
-    /// Committed to patient tasks, which may be stopped for urgent work.
+    /// Resources committed to patient tasks, which may be preempted by urgent work.
     pub patient: Resources,
-    /// Whether the worker answers its holder.
+    /// Whether the worker responds to its holder.
     pub reachable: bool,
-    /// Whether it takes new tasks.
+    /// Whether it accepts new tasks.
     pub open: bool,
-    /// Whether it is on its way out.
+    /// Whether it is being removed.
     pub leaving: bool,
     /// Whether it is on probation after failures.
     pub probation: bool,
-    /// Whether this worker's tasks are all surely ended although it can't be reached.
+    /// Whether the worker is unreachable, but all its tasks are certain to have ended.
     pub lapsed: bool,
 }
 
-/// State of an attempt as its holder knows it.
+/// State of an attempt, as known by the holder of its worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
-    /// Committed; the worker has not confirmed yet.
+    /// Committed; not yet confirmed by the worker.
     Starting,
-    /// Runs; a service instance answers at the address.
+    /// Running; service instances have an address.
     Running(Option<SocketAddr>),
-    /// Told to stop.
+    /// The worker has been told to stop it.
     Stopping,
-    /// Surely ended.
+    /// Certain to have ended.
     Ended(End),
 }
 
-/// An attempt on a held worker.
+/// State of an attempt on a held worker.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskFact {
-    /// Where it is.
     pub worker: WorkerId,
-    /// How it is.
     pub state: TaskState,
-    /// Its committed size.
+    /// Resources committed to it.
     pub resources: Resources,
-    /// Whether it may be stopped for urgent work.
+    /// Whether it may be preempted by urgent work.
     pub patient: bool,
-    /// Run time since its last checkpoint, which a stop would lose: the power of two of the seconds. So coarse
-    /// that it seldom changes, since each change travels to every neighbour.
+    /// Run time since the last checkpoint, which stopping the attempt would lose, as the binary logarithm of the
+    /// seconds. The value is coarse so that it changes rarely, since each change is sent to all hosts of the data
+    /// centre.
     pub unsaved: u8,
 }
 
-/// An order to start one attempt.
+/// An order to start an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StartOrder {
-    /// Where.
     pub worker: WorkerId,
-    /// What.
     pub task: Id,
-    /// Which attempt.
     pub attempt: Attempt,
-    /// Its declared size.
+    /// Its declared resources.
     pub resources: Resources,
-    /// The program.
+    /// The program to run.
     pub run: String,
     /// Whether it is a service instance.
     pub service: bool,
-    /// Whether it may be stopped for urgent work.
+    /// Whether it may be preempted by urgent work.
     pub patient: bool,
 }
 
-/// An order to stop one attempt.
+/// An order to stop an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StopOrder {
-    /// Where.
     pub worker: WorkerId,
-    /// What.
     pub task: Id,
-    /// Which attempt.
     pub attempt: Attempt,
 }
 
-/// An order to keep room for a workload. Reservations are honoured in the order of `seniority` at every
-/// holder, so that two gangs can't each hold a part of what the other needs.
+/// An order to reserve resources for a workload. All holders serve reservations in the order of `seniority`, so that
+/// two gangs can't each hold resources that the other one needs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReserveOrder {
-    /// Where.
     pub worker: WorkerId,
-    /// For whom.
     pub workload: WorkloadId,
-    /// How much.
     pub resources: Resources,
-    /// Lower goes first: priority, then time of acceptance.
+    /// Lower values go first: by priority, then by time of acceptance.
     pub seniority: u64,
-    /// Patient attempts to stop for it.
+    /// Patient attempts to preempt for it.
     pub victims: Vec<(Id, Attempt)>,
 }
 
-/// What a holder says to a start order. Anything but `Accepted` means that it surely was not started.
+/// Answer of a holder to a start order. Anything but `Accepted` means that the attempt was certainly not started.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StartAnswer {
-    /// Committed in the ledger of the hold with this epoch; it will be sent to the worker.
+    /// Committed in the ledger of the hold with this epoch; the start will be sent to the worker.
     Accepted(Epoch),
-    /// Does not fit; this is free.
+    /// The attempt does not fit; these resources are free.
     Full(Resources),
     /// This host does not hold the worker.
     NotHolder,
-    /// The worker takes nothing new now: it is leaving, unreachable or on probation.
+    /// The worker currently accepts no new tasks: it is leaving, unreachable or on probation.
     Closed,
-    /// A newer claim on the partition is known.
+    /// The claim on the partition has been superseded by one with this epoch.
     Superseded(Epoch),
 }
 
-/// What a host holds of a partition, for a new owner of it.
+/// A host's inventory of a partition, sent to a new owner of the partition.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InventoryAnswer {
-    /// Newest claim epoch that this host knows for the partition.
+    /// Newest claim epoch of the partition known to this host.
     pub epoch: Epoch,
-    /// Version of the host's facts that shows all of this.
+    /// Version of the host's facts that contains this inventory.
     pub version: Version,
-    /// Workers held with a complete inventory, and the epochs of the holds.
+    /// Held workers whose inventory is complete, with the epochs of the holds.
     pub workers: Vec<(WorkerId, Epoch)>,
-    /// Attempts at tasks of the partition.
+    /// Attempts of tasks of the partition.
     pub tasks: Vec<InventoryItem>,
 }
 
-/// One attempt found by an inventory.
+/// An attempt in an inventory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InventoryItem {
-    /// What.
     pub task: Id,
-    /// Which attempt.
     pub attempt: Attempt,
-    /// Where and how.
     pub fact: TaskFact,
 }
 
-/// What is remembered of an unrepeatable request.
+/// Record of a request with an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RememberedKey {
-    /// Its key.
+pub struct KeyRecord {
+    /// The idempotency key.
     pub key: String,
-    /// The answer; `None` when it is unknown whether it ran.
-    pub answer: Option<RememberedAnswer>,
+    /// The response; `None` if it is unknown whether the request ran.
+    pub answer: Option<RecordedResponse>,
 }
 
-/// An answer that is remembered whole.
+/// A recorded HTTP response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RememberedAnswer {
-    /// HTTP status.
+pub struct RecordedResponse {
     pub status: u16,
-    /// Headers.
     pub headers: Vec<(String, Vec<u8>)>,
-    /// Body.
     pub body: Vec<u8>,
 }
 
 /// A request to another entry host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Request {
-    /// Configuration after a revision.
+    /// Get the configuration changes after a revision.
     Configuration {
-        /// The revision that the asker has.
+        /// The revision of the requesting host.
         since: Revision,
     },
-    /// Facts after a version.
+    /// Get the changes of the facts after a version.
     Facts {
-        /// The version that the asker has.
+        /// The version of the requesting host.
         since: Version,
     },
-    /// The platform's list of hosts, when it is newer than this version of it.
+    /// Get the platform's list of hosts, if there is one newer than this version.
     List {
-        /// The version that the asker has.
+        /// The version of the requesting host.
         since: u64,
     },
-    /// A new claim on a partition; answered with what is held of it.
+    /// Announce a new claim on a partition; answered with the host's inventory of it.
     Announce {
-        /// The partition.
         partition: Partition,
         /// Epoch of the claim.
         epoch: Epoch,
     },
-    /// The claim epochs that the host knows.
+    /// Get the claim epochs known to the host.
     Epochs,
     /// Start attempts of one partition.
     Start {
-        /// The partition.
         partition: Partition,
         /// Epoch of the claim.
         epoch: Epoch,
-        /// The orders.
         orders: Vec<StartOrder>,
     },
-    /// Keep room that becomes free on workers for one workload, for a short time.
+    /// Reserve resources that become free on workers for one workload, for a short time.
     Reserve {
-        /// The partition.
         partition: Partition,
         /// Epoch of the claim.
         epoch: Epoch,
-        /// Where and how much.
         orders: Vec<ReserveOrder>,
     },
     /// Stop attempts of one partition.
     Stop {
-        /// The partition.
         partition: Partition,
         /// Epoch of the claim.
         epoch: Epoch,
-        /// The orders.
         orders: Vec<StopOrder>,
     },
-    /// Ended attempts whose end is durable: forget them.
+    /// Remove ended attempts whose end has been stored durably.
     Acknowledge {
-        /// What and where.
+        /// The ended attempts.
         ends: Vec<StopOrder>,
     },
-    /// A statement that shows something, about the asked host's data centre.
-    Show {
-        /// The statement.
-        statement: String,
-    },
-    /// Keys of unrepeatable requests whose home the sender was and the asked host is from now on.
+    /// Execute a read-only statement for the data centre of the receiving host.
+    Show { statement: String },
+    /// Hand over idempotency keys from the sender to the receiving host, which is their new owner.
     Keys {
-        /// The sender, which is stopping.
+        /// The sending host, which is stopping.
         from: HostId,
-        /// The keys.
-        keys: Vec<RememberedKey>,
-        /// Whether the asked host has got all of them with this.
+        keys: Vec<KeyRecord>,
+        /// Whether this is the last batch of keys for the receiving host.
         last: bool,
     },
 }
@@ -295,20 +263,21 @@
     Configuration(Delta<ConfigKey, ConfigValue>),
     /// To `Facts`.
     Facts(Delta<FactKey, Fact>),
-    /// To `List`, when there is a newer one: its version and lines.
+    /// To `List`, if there is a newer one: its version and hosts.
     List(u64, Vec<(HostId, ListedHost)>),
     /// To `Announce`.
     Inventory(InventoryAnswer),
     /// To `Epochs`.
     Epochs(Vec<(Partition, Epoch)>),
-    /// To `Start`, in the order of the orders, with the version of the holder's facts that shows them.
+    /// To `Start`: one answer per order, in the same order, and the version of the holder's facts that contains the
+    /// attempts.
     Started(Vec<StartAnswer>, Version),
-    /// To `Reserve`, in the order of the orders: whether all the room is there now.
+    /// To `Reserve`: for each order, in the same order, whether all resources are reserved now.
     Reserved(Vec<bool>),
-    /// To `Stop`, `Acknowledge` and `Keys`, and to `List` when there is no newer one.
+    /// To `Stop`, `Acknowledge` and `Keys`, and to `List` if there is no newer one.
     Done,
     /// To `Show`: rows of cells.
     Rows(Vec<Vec<String>>),
-    /// The request can't be answered here and now.
+    /// The host can't currently answer the request.
     Refused(String),
 }
--- a/components/wire/tests/wire.rs
+++ b/components/wire/tests/wire.rs
@@ -1,10 +1,12 @@
-//! Malformed, foreign and truncated messages are refused cleanly; good ones survive the round trip.
+//! Malformed, unauthenticated and truncated messages are rejected without a panic; valid messages round-trip.
 
 use board::Board;
 use model::Resources;
 use model::task::{Attempt, End, Id};
 use proptest::prelude::*;
-use wire::{Answer, Fact, FactKey, Key, MessageError, Request, TaskFact, TaskState, open, read, seal, write};
+use wire::{
+    Answer, Fact, FactKey, Key, MessageError, Request, TaskFact, TaskState, decode, encode, read_frame, write_frame,
+};
 
 fn key() -> Key {
     Key::new("a shared key of a test cell")
@@ -13,22 +15,22 @@
 proptest! {
     #[test]
     fn arbitrary_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..512)) {
-        prop_assert!(open::<Request>(&key(), &bytes).is_err());
+        prop_assert!(decode::<Request>(&key(), &bytes).is_err());
     }
 
     #[test]
-    fn a_sealed_but_random_payload_is_refused_or_decoded_without_panic(payload in prop::collection::vec(any::<u8>(), 0..256)) {
-        let sealed = seal(&key(), &payload).unwrap();
-        let _ = open::<Answer>(&key(), &sealed);
-        let _ = open::<member::Digest>(&key(), &sealed);
+    fn an_authenticated_random_payload_never_panics(payload in prop::collection::vec(any::<u8>(), 0..256)) {
+        let encoded = encode(&key(), &payload).unwrap();
+        let _ = decode::<Answer>(&key(), &encoded);
+        let _ = decode::<member::Digest>(&key(), &encoded);
     }
 
     #[test]
-    fn any_changed_byte_breaks_the_seal(at in 0usize..64, flip in 1u8..=255) {
-        let mut sealed = seal(&key(), &Request::Announce { partition: 3, epoch: 9 }).unwrap();
-        let at = at % sealed.len();
-        sealed[at] ^= flip;
-        prop_assert!(open::<Request>(&key(), &sealed).is_err());
+    fn any_changed_byte_is_detected(at in 0usize..64, flip in 1u8..=255) {
+        let mut encoded = encode(&key(), &Request::Announce { partition: 3, epoch: 9 }).unwrap();
+        let at = at % encoded.len();
+        encoded[at] ^= flip;
+        prop_assert!(decode::<Request>(&key(), &encoded).is_err());
     }
 }
 
@@ -52,33 +54,33 @@
 }
 
 #[test]
-fn facts_with_every_state_and_end_survive_the_way() {
+fn facts_with_every_state_and_end_round_trip() {
     let facts = facts_with_every_end();
-    let sealed = seal(&key(), &facts).unwrap();
-    assert_eq!(open::<Answer>(&key(), &sealed), Ok(facts));
+    let encoded = encode(&key(), &facts).unwrap();
+    assert_eq!(decode::<Answer>(&key(), &encoded), Ok(facts));
 }
 
 #[test]
 fn another_cells_key_is_refused() {
-    let sealed = seal(&Key::new("another"), &Request::Epochs).unwrap();
-    assert_eq!(open::<Request>(&key(), &sealed), Err(MessageError::Seal));
+    let encoded = encode(&Key::new("another"), &Request::Epochs).unwrap();
+    assert_eq!(decode::<Request>(&key(), &encoded), Err(MessageError::Authentication));
 }
 
 #[tokio::test]
-async fn frames_survive_the_stream_and_an_oversized_length_is_refused() {
+async fn frames_round_trip_and_an_oversized_length_is_refused() {
     let (mut near, mut far) = tokio::io::duplex(1 << 16);
-    write(&mut near, &key(), &Request::Epochs).await.unwrap();
-    let (request, _) = read::<Request>(&mut far, &key()).await.unwrap().unwrap();
+    write_frame(&mut near, &key(), &Request::Epochs).await.unwrap();
+    let (request, _) = read_frame::<Request>(&mut far, &key()).await.unwrap().unwrap();
     assert_eq!(request, Request::Epochs);
 
     tokio::io::AsyncWriteExt::write_all(&mut near, &u32::MAX.to_be_bytes()).await.unwrap();
-    assert!(read::<Request>(&mut far, &key()).await.is_err());
+    assert!(read_frame::<Request>(&mut far, &key()).await.is_err());
 }
 
 #[tokio::test]
-async fn a_frame_that_breaks_off_is_an_error_not_an_end() {
+async fn a_truncated_frame_is_an_error_not_an_end_of_stream() {
     let (mut near, mut far) = tokio::io::duplex(1 << 16);
     tokio::io::AsyncWriteExt::write_all(&mut near, &[0, 0, 0, 40, 1, 2]).await.unwrap();
     drop(near);
-    assert!(read::<Request>(&mut far, &key()).await.is_err());
+    assert!(read_frame::<Request>(&mut far, &key()).await.is_err());
 }
