--- a/components/entry/src/host.rs
+++ b/components/entry/src/host.rs
@@ -342,7 +342,7 @@
                 Role::Leading(reign) => Some(reign.answer(call.clone()).await),
                 Role::Following(_, link) => {
                     let outcome = link.call(call.clone(), left.min(patience(&call))).await;
-                    sent |= outcome != Err(link::CallError::Down);
+                    sent |= outcome != Err(link::CallError::NotSent);
                     outcome.ok()
                 }
             };
--- a/components/link/src/lib.rs
+++ b/components/link/src/lib.rs
@@ -1,9 +1,6 @@
-//! Calls between entry hosts: both sides of one TCP connection can ask, and answers may overtake each other.
+//! Bidirectional calls between entry hosts over one TCP connection. Answers may arrive in any order.
 //!
-//! Frames are length-delimited and encoded by `postcard`. A link that breaks fails all calls that wait on it.
-
-// Off until its wording is done.
-#![allow(clippy::missing_errors_doc, clippy::missing_panics_doc)]
+//! Frames are length-delimited and encoded with `postcard`. When the connection ends, all pending calls fail.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -24,19 +21,19 @@
 use tokio::time::Instant;
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// Largest frame, in bytes: a configuration of some thousand queues fits.
-const MAX_FRAME: usize = 8 * 1024 * 1024;
-/// Frames that may wait to be sent; a caller waits when a peer doesn't read.
-const QUEUED: usize = 1024;
+/// Largest frame, in bytes. A configuration with several thousand queues fits.
+const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
+/// Number of frames that may be queued for sending. When the queue is full because the peer doesn't read, calls wait.
+const SEND_QUEUE_LEN: usize = 1024;
 
-/// Why a call brought no answer.
+/// Error of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum CallError {
-    /// The link was down before the call was sent.
-    #[error("the link is down")]
-    Down,
-    /// The call was sent; whether it was carried out is not known.
-    #[error("no answer came")]
+    /// The call was not sent: the link was closed, or the call could not be encoded.
+    #[error("the link is closed")]
+    NotSent,
+    /// The call may have been sent, but no answer was received. It is unknown whether the call was handled.
+    #[error("no answer received")]
     Unanswered,
 }
 
@@ -48,18 +45,17 @@
 
 /// One connection to another entry host.
 pub struct Link<Q, A> {
-    /// Encoded frames to send.
-    sender: mpsc::Sender<Bytes>,
-    /// Calls without an answer so far, by number.
-    waiting: Mutex<HashMap<u64, oneshot::Sender<A>>>,
-    /// Number of the next call.
-    next: AtomicU64,
-    /// When the last frame came in.
-    heard: Mutex<Instant>,
-    /// Set once, when the connection has ended.
-    down: AtomicBool,
+    /// Queue of encoded frames to send.
+    outgoing: mpsc::Sender<Bytes>,
+    /// Calls waiting for their answer, by id.
+    pending: Mutex<HashMap<u64, oneshot::Sender<A>>>,
+    next_id: AtomicU64,
+    /// When the last frame was received.
+    last_frame_at: Mutex<Instant>,
+    /// Set when the link is closed; never reset.
+    closed: AtomicBool,
     close_notify: Notify,
-    calls: PhantomData<fn(Q)>,
+    call_type: PhantomData<fn(Q)>,
 }
 
 impl<Q, A> Link<Q, A>
@@ -67,77 +63,83 @@
     Q: Serialize + DeserializeOwned + Send + 'static,
     A: Serialize + DeserializeOwned + Send + 'static,
 {
-    /// Runs a link on a connection. `handler` answers the other side's calls, each in a task of its own.
+    /// Runs a link on a connection. Each call from the peer is answered by `handler` in its own task.
     pub fn spawn<H, F>(stream: TcpStream, handler: H) -> Arc<Link<Q, A>>
     where
         H: Fn(Arc<Link<Q, A>>, Q) -> F + Clone + Send + Sync + 'static,
         F: Future<Output = A> + Send + 'static,
     {
-        let (sender, receiver) = mpsc::channel(QUEUED);
+        let (outgoing, receiver) = mpsc::channel(SEND_QUEUE_LEN);
         let link = Arc::new(Link {
-            sender,
-            waiting: Mutex::new(HashMap::new()),
-            next: AtomicU64::new(0),
-            heard: Mutex::new(Instant::now()),
-            down: AtomicBool::new(false),
+            outgoing,
+            pending: Mutex::new(HashMap::new()),
+            next_id: AtomicU64::new(0),
+            last_frame_at: Mutex::new(Instant::now()),
+            closed: AtomicBool::new(false),
             close_notify: Notify::new(),
-            calls: PhantomData,
+            call_type: PhantomData,
         });
         tokio::spawn(run(link.clone(), stream, receiver, handler));
         link
     }
 
-    /// Asks the other side. Waits for the answer at most `timeout`.
+    /// Calls the peer and waits for its answer for at most `timeout`.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`CallError::NotSent`] if the call was not sent, and [`CallError::Unanswered`] if the link closes or the
+    /// timeout expires before the answer is received.
     pub async fn call(&self, call: Q, timeout: Duration) -> Result<A, CallError> {
         if self.is_closed() {
-            return Err(CallError::Down);
+            return Err(CallError::NotSent);
         }
-        let number = self.next.fetch_add(1, Ordering::Relaxed);
-        let bytes = encode(&Frame::<Q, A>::Call(number, call)).ok_or(CallError::Down)?;
-        let (answer, answered) = oneshot::channel();
-        self.waiting.lock().insert(number, answer);
-        if self.sender.send(bytes).await.is_err() {
-            self.waiting.lock().remove(&number);
-            return Err(CallError::Down);
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
+        let bytes = encode(&Frame::<Q, A>::Call(id, call)).ok_or(CallError::NotSent)?;
+        let (answer_sender, answer_receiver) = oneshot::channel();
+        self.pending.lock().insert(id, answer_sender);
+        if self.outgoing.send(bytes).await.is_err() {
+            self.pending.lock().remove(&id);
+            return Err(CallError::NotSent);
         }
-        // Closing fails all that wait; a call that came in between must not wait for ever.
+        // `close` fails all pending calls. A call added after that would wait for its whole timeout.
         if self.is_closed() {
-            self.waiting.lock().remove(&number);
+            self.pending.lock().remove(&id);
             return Err(CallError::Unanswered);
         }
-        let outcome = tokio::time::timeout(timeout, answered).await;
-        self.waiting.lock().remove(&number);
+        let outcome = tokio::time::timeout(timeout, answer_receiver).await;
+        self.pending.lock().remove(&id);
         match outcome {
             Ok(Ok(answer)) => Ok(answer),
             _ => Err(CallError::Unanswered),
         }
     }
 
-    /// Whether the connection has ended.
+    /// Whether the link is closed.
     pub fn is_closed(&self) -> bool {
-        self.down.load(Ordering::Acquire)
+        self.closed.load(Ordering::Acquire)
     }
 
-    /// How long nothing has come in: a host that was cut off or removed ends no connection.
+    /// Time since the last frame was received. It detects a host that was disconnected or removed without closing the
+    /// connection.
     pub fn time_since_last_frame(&self) -> Duration {
-        self.heard.lock().elapsed()
+        self.last_frame_at.lock().elapsed()
     }
 
-    /// Waits until the connection has ended.
+    /// Waits until the link is closed.
     pub async fn closed(&self) {
         loop {
-            let notified = self.close_notify.notified();
+            let notification = self.close_notify.notified();
             if self.is_closed() {
                 return;
             }
-            notified.await;
+            notification.await;
         }
     }
 
-    /// Ends the connection.
+    /// Closes the link, which fails all pending calls.
     pub fn close(&self) {
-        self.down.store(true, Ordering::Release);
-        self.waiting.lock().clear();
+        self.closed.store(true, Ordering::Release);
+        self.pending.lock().clear();
         self.close_notify.notify_waiters();
     }
 }
@@ -148,7 +150,7 @@
     postcard::to_stdvec(frame).ok().map(Bytes::from)
 }
 
-/// Carries frames both ways until the connection ends; then all calls that wait fail.
+/// Sends and receives frames until the connection ends, then closes the link.
 async fn run<Q, A, H, F>(link: Arc<Link<Q, A>>, stream: TcpStream, receiver: mpsc::Receiver<Bytes>, handler: H)
 where
     Q: Serialize + DeserializeOwned + Send + 'static,
@@ -156,23 +158,23 @@
     H: Fn(Arc<Link<Q, A>>, Q) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = A> + Send + 'static,
 {
-    let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME).new_codec();
+    let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
     let (sink, source) = Framed::new(stream, codec).split();
     tokio::select! {
-        () = write(receiver, sink) => {}
-        () = read(&link, source, handler) => {}
+        () = write_frames(receiver, sink) => {}
+        () = read_frames(&link, source, handler) => {}
         () = link.closed() => {}
     }
     link.close();
 }
 
-/// Sends what waits, until the connection breaks.
-async fn write(mut receiver: mpsc::Receiver<Bytes>, mut sink: SplitSink<Connection, Bytes>) {
+/// Sends queued frames until the connection fails.
+async fn write_frames(mut receiver: mpsc::Receiver<Bytes>, mut sink: SplitSink<Connection, Bytes>) {
     while let Some(bytes) = receiver.recv().await {
         if sink.feed(bytes).await.is_err() {
             return;
         }
-        // Frames that already wait go out in one write.
+        // Frames that are already queued are sent with one flush.
         while let Ok(more) = receiver.try_recv() {
             if sink.feed(more).await.is_err() {
                 return;
@@ -184,8 +186,8 @@
     }
 }
 
-/// Takes in frames, until the connection breaks or brings one that can't be read.
-async fn read<Q, A, H, F>(link: &Arc<Link<Q, A>>, mut source: SplitStream<Connection>, handler: H)
+/// Receives frames until the connection fails or a frame is invalid.
+async fn read_frames<Q, A, H, F>(link: &Arc<Link<Q, A>>, mut source: SplitStream<Connection>, handler: H)
 where
     Q: Serialize + DeserializeOwned + Send + 'static,
     A: Serialize + DeserializeOwned + Send + 'static,
@@ -193,33 +195,33 @@
     F: Future<Output = A> + Send + 'static,
 {
     while let Some(Ok(bytes)) = source.next().await {
-        *link.heard.lock() = Instant::now();
+        *link.last_frame_at.lock() = Instant::now();
         match postcard::from_bytes::<Frame<Q, A>>(&bytes) {
-            Ok(Frame::Call(number, call)) => {
-                let (asked, handler) = (link.clone(), handler.clone());
-                let outcome = async move { handler(asked, call).await };
-                tokio::spawn(answer(link.clone(), number, outcome));
+            Ok(Frame::Call(id, call)) => {
+                let (handler_link, handler) = (link.clone(), handler.clone());
+                let answer = async move { handler(handler_link, call).await };
+                tokio::spawn(send_answer(link.clone(), id, answer));
             }
-            Ok(Frame::Answer(number, answer)) => {
-                if let Some(waiting) = link.waiting.lock().remove(&number) {
-                    // The caller may have given up.
-                    let _ = waiting.send(answer);
+            Ok(Frame::Answer(id, answer)) => {
+                if let Some(answer_sender) = link.pending.lock().remove(&id) {
+                    // The call may have timed out.
+                    let _ = answer_sender.send(answer);
                 }
             }
-            // The other side speaks another version: nothing of it can be trusted.
+            // The peer uses another version of the protocol, so none of its frames can be trusted.
             Err(_) => return,
         }
     }
 }
 
-/// Sends the answer to one call of the other side.
-async fn answer<Q, A>(link: Arc<Link<Q, A>>, number: u64, outcome: impl Future<Output = A>)
+/// Sends the answer to a call from the peer.
+async fn send_answer<Q, A>(link: Arc<Link<Q, A>>, id: u64, answer: impl Future<Output = A>)
 where
     Q: Serialize,
     A: Serialize,
 {
-    if let Some(bytes) = encode(&Frame::<Q, A>::Answer(number, outcome.await)) {
-        // A link that went down meanwhile needs no answer.
-        let _ = link.sender.send(bytes).await;
+    if let Some(bytes) = encode(&Frame::<Q, A>::Answer(id, answer.await)) {
+        // The answer is dropped if the link has been closed in the meantime.
+        let _ = link.outgoing.send(bytes).await;
     }
 }
