--- a/components/web/src/lib.rs
+++ b/components/web/src/lib.rs
@@ -1,8 +1,5 @@
-//! Small helpers around `hyper-util`: a JSON client whose faults tell whether the request can have been
-//! received, and a server loop that stops without cutting off requests.
-
-// Off until its wording is done.
-#![allow(clippy::missing_errors_doc, clippy::missing_panics_doc)]
+//! HTTP helpers based on `hyper-util`: a JSON client whose errors tell whether a request may have been received, and a
+//! server with graceful shutdown.
 
 mod client;
 mod server;
--- a/components/web/src/server.rs
+++ b/components/web/src/server.rs
@@ -1,4 +1,4 @@
-//! Serves HTTP/1.1 connections until told to stop.
+//! HTTP/1.1 server with graceful shutdown.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -18,41 +18,41 @@
 use tokio::net::TcpListener;
 use tokio::sync::Semaphore;
 
-/// Body of an answer, streamed or whole.
+/// Body of a response, streamed or complete.
 pub type Body = BoxBody<Bytes, hyper::Error>;
 
-/// A caller has this long to send its request's head.
+/// Longest time to receive the head of a request.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 const MAX_HEADERS: usize = 64;
 const MAX_HEAD_BYTES: usize = 32 * 1024;
-/// After a failed accept (no file descriptors left, say) the loop pauses instead of spinning.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed accept, for example without free file descriptors, which prevents a busy loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// A body that is already whole.
+/// Creates a body from bytes that are already complete.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed()
 }
 
-/// An answer with a JSON body.
+/// Creates a response with a JSON body.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
     let bytes = serde_json::to_vec(value).unwrap_or_default();
-    let mut answer = Response::new(full(bytes));
-    *answer.status_mut() = status;
-    answer.headers_mut().insert(http::header::CONTENT_TYPE, http::HeaderValue::from_static("application/json"));
-    answer
+    let mut response = Response::new(full(bytes));
+    *response.status_mut() = status;
+    response.headers_mut().insert(http::header::CONTENT_TYPE, http::HeaderValue::from_static("application/json"));
+    response
 }
 
-/// Reads a body of at most `limit` bytes; `None` when it is longer or breaks off.
+/// Reads a complete body of at most `limit` bytes. Returns `None` if it is longer or incomplete.
 pub async fn read_limited(body: Incoming, limit: usize) -> Option<Bytes> {
     Limited::new(body, limit).collect().await.ok().map(|collected| collected.to_bytes())
 }
 
-/// Accepts connections until `stop` completes, then lets requests in flight finish within `grace`.
+/// Accepts connections until `stop` completes, then waits up to `grace` for requests in progress.
 ///
-/// At most `connections` are open at once; more wait in the listener's backlog.
+/// At most `max_connections` are open at a time; further ones wait in the backlog of the listener.
 pub async fn serve<H, F>(
     listener: TcpListener,
-    connections: usize,
+    max_connections: usize,
     stop: impl Future<Output = ()>,
     grace: Duration,
     handler: H,
@@ -61,7 +61,7 @@
     F: Future<Output = Response<Body>> + Send + 'static,
 {
     let graceful = GracefulShutdown::new();
-    let permits = Arc::new(Semaphore::new(connections));
+    let permits = Arc::new(Semaphore::new(max_connections));
     tokio::pin!(stop);
     loop {
         let permit = tokio::select! {
@@ -73,14 +73,14 @@
             () = &mut stop => break,
         };
         let Ok((stream, caller)) = accepted else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
         let handler = handler.clone();
         let service = service_fn(move |request| {
-            let answer = handler(request, caller);
-            async move { Ok::<_, Infallible>(answer.await) }
+            let response = handler(request, caller);
+            async move { Ok::<_, Infallible>(response.await) }
         });
         let connection = hyper::server::conn::http1::Builder::new()
             .timer(TokioTimer::new())
