--- a/components/node/src/configuration.rs
+++ b/components/node/src/configuration.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use board::{Board, Delta};
+use board::{Delta, VersionedMap};
 use claim::Claim;
 use model::workload::{Progress, Record, Versioned};
 use model::{DataCentreId, Partition, Revision, WorkerId, WorkloadId};
@@ -43,7 +43,7 @@
 
 #[derive(Default)]
 struct State {
-    board: Board<ConfigKey, ConfigValue>,
+    board: VersionedMap<ConfigKey, ConfigValue>,
     records: Records,
 }
 
@@ -289,7 +289,7 @@
     for (key, reason) in &applied.unreadable {
         events::emit!(shared.log, events::RECORD_UNREADABLE, "key" => key, "why" => reason);
     }
-    events::emit!(shared.log, events::CONFIGURATION, "revision" => shared.configuration.revision());
+    events::emit!(shared.log, events::CONFIG_CHANGED, "revision" => shared.configuration.revision());
     crate::owner::apply_records(shared, &applied.workloads);
     if applied.drains {
         crate::held_workers::refresh_leaving(shared);
--- a/components/node/src/membership.rs
+++ b/components/node/src/membership.rs
@@ -176,8 +176,8 @@
     }
 
     /// The addresses that the next digest is sent to: all neighbours and a few hosts of each other data centre. So
-    /// that hosts find each other, also after a partition, the digest is sent to the seeds, to hosts that peers have
-    /// listed and to one dead host as well.
+    /// that hosts find each other, also after a network failure, the digest is sent to the seeds, to hosts that peers
+    /// have listed and to one dead host as well.
     fn targets(&self, seeds: &[SocketAddr], now: Instant) -> Vec<SocketAddr> {
         let Hosts { table, named, .. } = &*self.state.lock();
         let mut remote: HashMap<&DataCentreId, Vec<SocketAddr>> = HashMap::new();
@@ -267,7 +267,7 @@
     for target in shared.membership.targets(&shared.settings.seeds, now) {
         // Errors are ignored because the next digest makes up for a lost one.
         let _ = socket.send_to(&bytes, target).await;
-        shared.metrics.control("digest_sent", bytes.len());
+        shared.metrics.record_control_bytes("digest_sent", bytes.len());
     }
 }
 
@@ -292,7 +292,7 @@
     let mut buffer = vec![0; wire::MAX_DATAGRAM];
     loop {
         let Ok((length, peer)) = socket.recv_from(&mut buffer).await else { continue };
-        shared.metrics.control("digest_received", length);
+        shared.metrics.record_control_bytes("digest_received", length);
         match wire::decode::<Digest>(shared.peer_client.key(), &buffer[..length]) {
             Ok(digest) if digest.cell == shared.settings.cell => handle_digest(&shared, &digest),
             Ok(_) => {}
--- a/components/node/src/owner.rs
+++ b/components/node/src/owner.rs
@@ -129,14 +129,14 @@
             return;
         }
         owned.compared_at = now;
-        let mut gone = Vec::new();
+        let mut lost = Vec::new();
         for (task, attempt, worker) in owned.tracker.possibly_live_attempts() {
             let visible_from = owned.visible_from.get(&(task.clone(), attempt));
             if shared.facts.is_missing(worker, &task, attempt, visible_from) {
-                gone.push((task, attempt));
+                lost.push((task, attempt));
             }
         }
-        for (task, attempt) in gone {
+        for (task, attempt) in lost {
             owned.tracker.mark_lost(&task, attempt, now);
         }
         let live: BTreeSet<(Id, Attempt)> =
@@ -194,7 +194,8 @@
 fn record_wait(shared: &Shared, task: &Id, waited: Duration) {
     let Some(versioned) = shared.configuration.workload(&task.workload) else { return };
     let workload = &versioned.record.workload;
-    let tenant = metrics::Tenant { class: format!("{:?}", workload.kind).to_lowercase(), team: workload.team.clone() };
+    let tenant =
+        metrics::TenantLabels { class: format!("{:?}", workload.kind).to_lowercase(), team: workload.team.clone() };
     shared.metrics.start_seconds.get_or_create(&tenant).observe(waited.as_secs_f64());
 }
 
--- a/components/wire/tests/wire.rs
+++ b/components/wire/tests/wire.rs
@@ -1,6 +1,6 @@
 //! Malformed, unauthenticated and truncated messages are rejected without a panic; valid messages round-trip.
 
-use board::Board;
+use board::VersionedMap;
 use model::Resources;
 use model::task::{Attempt, End, Id};
 use proptest::prelude::*;
@@ -43,7 +43,7 @@
         TaskState::Running(address),
         TaskState::Stopping,
     ]);
-    let mut board = Board::default();
+    let mut board = VersionedMap::default();
     for (index, state) in states.enumerate() {
         let task = Id { workload: "plan".to_owned(), life: 1, data_centre: "gt-1".to_owned(), index: index as u32 };
         let fact =
