--- a/components/store/src/store.rs
+++ b/components/store/src/store.rs
@@ -1,4 +1,4 @@
-//! What the product needs of a key-value service.
+//! The interface to the key-value service.
 
 use std::time::Duration;
 
@@ -6,60 +6,61 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-use crate::budget::Use;
-use crate::gateway::{Event, Lease, Outcome, Range, Txn};
+use crate::budget::Purpose;
+use crate::gateway::{Event, Lease, Range, Txn, TxnOutcome};
 
-/// Why a call brought no outcome.
+/// Error of a call to the platform.
 #[derive(Clone, Debug, Error)]
-pub enum Fault {
-    /// The service surely did not get it.
+pub enum StoreError {
+    /// The service can't have received the call.
     #[error("the platform can't be reached: {0}")]
     NotSent(String),
-    /// It may have taken effect.
+    /// The call may have taken effect.
     #[error("the platform did not answer: {0}")]
     Unknown(String),
-    /// The service refused it, so it had no effect.
+    /// The service refused the call, which had no effect.
     #[error("the platform refused the call: {0}")]
     Refused(String),
-    /// Not sent: this use's budget is spent.
-    #[error("the budget of platform calls is spent for now")]
+    /// The call was not sent: the budget of its purpose is used up.
+    #[error("the budget for platform calls is currently used up")]
     OverBudget,
-    /// A value above the limit; not sent.
-    #[error("value of {0} has {1} bytes, more than the platform keeps")]
+    /// The call was not sent: a value exceeds the size limit.
+    #[error("value of {0} has {1} bytes, which exceeds the size limit of the platform")]
     TooLarge(String, usize),
 }
 
-impl Fault {
-    /// Whether the change may have taken effect.
-    pub fn may_have_happened(&self) -> bool {
-        matches!(self, Fault::Unknown(_))
+impl StoreError {
+    /// Whether the call may have taken effect.
+    pub fn may_have_taken_effect(&self) -> bool {
+        matches!(self, StoreError::Unknown(_))
     }
 }
 
-/// What a watch brings: changes up to and including a revision.
+/// A message of a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Changes {
-    /// In order; complete up to the revision.
-    Upto(Vec<Event>, u64),
-    /// The wanted revision is no longer kept: read the whole range anew.
+pub enum WatchUpdate {
+    /// Changes in the order of their revisions, complete up to and including the given revision.
+    Events(Vec<Event>, u64),
+    /// The requested revision has been compacted; the whole range must be read again.
     Compacted,
 }
 
 /// A key-value service with compare-and-swap, leases and watches.
 #[async_trait]
 pub trait Store: Send + Sync {
-    /// All keys with a prefix.
-    async fn range(&self, usage: Use, prefix: &str) -> Result<Range, Fault>;
-    /// One key; with revision 0 when it is not there.
-    async fn get(&self, usage: Use, key: &str) -> Result<crate::Entry, Fault>;
-    /// A transaction.
-    async fn txn(&self, usage: Use, txn: &Txn) -> Result<Outcome, Fault>;
-    /// A lease.
-    async fn grant(&self, usage: Use, ttl: Duration) -> Result<Lease, Fault>;
-    /// Prolongs a lease; false when it has lapsed.
-    async fn keepalive(&self, usage: Use, lease: Lease) -> Result<bool, Fault>;
-    /// Ends a lease and all keys under it.
-    async fn revoke(&self, usage: Use, lease: Lease) -> Result<(), Fault>;
-    /// Watches a prefix from a revision on. The channel closes when the watch ends.
-    async fn watch(&self, usage: Use, prefix: &str, from: u64) -> Result<mpsc::Receiver<Changes>, Fault>;
+    /// Reads all keys with a prefix.
+    async fn range(&self, purpose: Purpose, prefix: &str) -> Result<Range, StoreError>;
+    /// Reads a key. The entry of a key that does not exist has revision 0.
+    async fn get(&self, purpose: Purpose, key: &str) -> Result<crate::Entry, StoreError>;
+    /// Executes a transaction.
+    async fn txn(&self, purpose: Purpose, txn: &Txn) -> Result<TxnOutcome, StoreError>;
+    /// Grants a lease.
+    async fn grant(&self, purpose: Purpose, ttl: Duration) -> Result<Lease, StoreError>;
+    /// Renews a lease. Returns false if it has expired.
+    async fn keepalive(&self, purpose: Purpose, lease: Lease) -> Result<bool, StoreError>;
+    /// Revokes a lease, which deletes all keys attached to it.
+    async fn revoke(&self, purpose: Purpose, lease: Lease) -> Result<(), StoreError>;
+    /// Watches a prefix, starting at a revision. The channel is closed when the watch ends.
+    async fn watch(&self, purpose: Purpose, prefix: &str, from: u64)
+    -> Result<mpsc::Receiver<WatchUpdate>, StoreError>;
 }
