--- a/bins/walkhookd/examples/capacity/main.rs
+++ b/bins/walkhookd/examples/capacity/main.rs
@@ -1,8 +1,8 @@
-//! Measures what an entry host costs, at three sizes of each thing that it costs for, and fits a line to each:
-//! `cargo run --release --example capacity`. Takes about four minutes.
+//! Measures the resources that an entry host uses, at three values of each factor (hosts, workers, tasks, starts per
+//! second), and fits a line to each: `cargo run --release --example capacity`. Takes about four minutes.
 //!
-//! Entry hosts are processes of their own with the default times; workers and the platform are stand-ins within
-//! this one, so that their cost is not counted.
+//! Entry hosts are child processes with the default time spans. Workers and the platform are fakes inside this
+//! process, so that their cost is not counted.
 
 #[path = "../../tests/support/mod.rs"]
 mod support;
@@ -15,16 +15,16 @@
 const SETTLE_TIME: Duration = Duration::from_secs(4);
 const MEASURING_TIME: Duration = Duration::from_secs(10);
 
-/// What one entry host costs, as the mean over the hosts of a run.
+/// Resources that one entry host uses, as the mean over the hosts of a run.
 #[derive(Clone, Copy, Debug, Default)]
 struct Cost {
-    /// Processor time, in thousandths of a core.
+    /// Processor use, in thousandths of a core.
     cpu: f64,
     /// Resident memory, in MiB.
     memory: f64,
-    /// Bytes a second between entry hosts, sent and received.
+    /// Bytes per second between entry hosts, sent and received.
     control: f64,
-    /// Calls to the platform a second, by all hosts together.
+    /// Calls to the platform per second, by all hosts together.
     platform: f64,
 }
 
@@ -33,10 +33,7 @@
 }
 
 async fn measure() {
-    println!(
-        "{:<26} {:>6} {:>9} {:>9} {:>11} {:>11}",
-        "what grows", "size", "cpu m", "MiB", "control B/s", "platform/s"
-    );
+    println!("{:<26} {:>6} {:>9} {:>9} {:>11} {:>11}", "factor", "size", "cpu m", "MiB", "control B/s", "platform/s");
     let mut rows = Vec::new();
     for hosts in [2, 4, 8] {
         rows.push((hosts as f64, cost_when_idle(hosts, 1, 0).await));
@@ -56,20 +53,20 @@
     for rate in [5, 15, 30] {
         rows.push((f64::from(rate) / 2.0, cost_of_starts(2, 40, rate).await));
     }
-    print_fit("starts a second and host", &rows);
+    print_fit("starts per second per host", &rows);
 }
 
-/// The cost of a cell in which nothing happens.
+/// Measures the cost of a cell in which nothing changes.
 async fn cost_when_idle(hosts: usize, workers: usize, tasks: u32) -> Cost {
     let cell = Cell::start_with_timings(&[("gt-1", hosts, workers)], DEFAULT_TIMINGS).await;
     if tasks > 0 {
         cell.submit(0, &batch("long", tasks, 1, "run 1h")).await;
-        wait_until("all run", || async { running(&cell) == tasks as usize }).await;
+        wait_until("all tasks run", || async { running(&cell) == tasks as usize }).await;
     }
     measure_cost(&cell).await
 }
 
-/// The cost while so many tasks a second are accepted, started, finished and acknowledged.
+/// Measures the cost while `rate` tasks per second are accepted, started, finished and acknowledged.
 async fn cost_of_starts(hosts: usize, workers: usize, rate: u32) -> Cost {
     let cell = Cell::start_with_timings(&[("gt-1", hosts, workers)], DEFAULT_TIMINGS).await;
     let submitting = async {
@@ -80,7 +77,7 @@
         }
     };
     tokio::select! {
-        () = submitting => unreachable!("it goes on"),
+        () = submitting => unreachable!("submitting does not end"),
         cost = measure_cost(&cell) => cost,
     }
 }
@@ -123,7 +120,7 @@
     lines.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).sum()
 }
 
-/// Prints the rows and the line of least squares through them, with the largest distance from it.
+/// Prints the rows and their least-squares line, with the largest residual.
 fn print_fit(description: &str, rows: &[(f64, Cost)]) {
     for (size, cost) in rows {
         println!(
@@ -131,7 +128,7 @@
             cost.cpu, cost.memory, cost.control, cost.platform
         );
     }
-    let line = |value: fn(&Cost) -> f64| {
+    let fit_line = |value: fn(&Cost) -> f64| {
         let count = rows.len() as f64;
         let mean_size = rows.iter().map(|(size, _)| size).sum::<f64>() / count;
         let mean = rows.iter().map(|(_, cost)| value(cost)).sum::<f64>() / count;
@@ -144,13 +141,13 @@
         (intercept, slope, residual)
     };
     let fitted = [
-        ("cpu m", line(|cost| cost.cpu)),
-        ("MiB", line(|cost| cost.memory)),
-        ("control B/s", line(|cost| cost.control)),
-        ("platform/s", line(|cost| cost.platform)),
+        ("cpu m", fit_line(|cost| cost.cpu)),
+        ("MiB", fit_line(|cost| cost.memory)),
+        ("control B/s", fit_line(|cost| cost.control)),
+        ("platform/s", fit_line(|cost| cost.platform)),
     ];
     for (name, (intercept, slope, residual)) in fitted {
-        println!("  {name:<12} = {intercept:>9.3} + {slope:>9.4} each   (residual {residual:.3})");
+        println!("  {name:<12} = {intercept:>9.3} + {slope:>9.4} per unit   (residual {residual:.3})");
     }
     println!();
 }
--- a/bins/walkhookd/examples/cell/callers.rs
+++ b/bins/walkhookd/examples/cell/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: slot checks, and bookings that must not run twice.
+//! Callers' requests: slot checks, and bookings that must not run twice.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -14,7 +14,7 @@
 
 use crate::processes::Cell;
 
-/// Requests of the comparison, by each of the two ways.
+/// Number of requests on each of the two paths that [`compare_latency`] compares.
 const COMPARED_REQUESTS: usize = 2000;
 
 type HttpClient = Client<HttpConnector, Full<Bytes>>;
@@ -45,11 +45,11 @@
     Ok(Response { status, outcome, body: String::from_utf8_lossy(&body).into_owned(), latency })
 }
 
-/// Sends checks and bookings through two entry hosts, each booking twice, and prints every answer.
+/// Sends checks and bookings through two entry hosts, each booking twice, and prints every response.
 pub(crate) async fn send_requests(cell: &Cell) -> Result<()> {
     let http_client: HttpClient = Client::builder(TokioExecutor::new()).build_http();
     let entries = [&cell.hosts[0], &cell.hosts[2]];
-    println!("\nrequest         entry    status  outcome   waited ms");
+    println!("\nrequest         entry    status  outcome  latency ms");
     for round in 0..4 {
         for entry in entries {
             let response = call(&http_client, entry.callers, &format!("/slots/{round}"), None).await?;
@@ -65,13 +65,14 @@
             print_response(&format!("booking {round}"), &entry.name, &response);
             bodies.push(response.body);
         }
-        ensure!(bodies[0] == bodies[1], "a duplicate got another answer: {bodies:?}");
+        ensure!(bodies[0] == bodies[1], "the duplicate of a booking got a different response: {bodies:?}");
     }
-    println!("each booking's duplicate got the first one's answer");
+    println!("the duplicate of each booking got the same response");
     Ok(())
 }
 
-/// A young home says "unknown" for keys made before its memory began; the caller asks with a new one.
+/// Repeats a booking until it is answered. A recently started owner of a key returns the outcome "unknown" for keys
+/// created before its record of keys begins.
 async fn send_booking(http_client: &HttpClient, address: SocketAddr, round: u32, key: Uuid) -> Result<Response> {
     let started_at = Instant::now();
     loop {
@@ -85,17 +86,18 @@
 }
 
 fn print_response(description: &str, entry: &str, response: &Response) {
-    let waited = response.latency.as_secs_f64() * 1000.0;
-    println!("{description:<15} {entry:<8} {:>6}  {:<8} {waited:>10.3}", response.status, response.outcome);
+    let latency_ms = response.latency.as_secs_f64() * 1000.0;
+    println!("{description:<15} {entry:<8} {:>6}  {:<8} {latency_ms:>10.3}", response.status, response.outcome);
 }
 
-/// Latency added by the entry host, against the same request sent straight to a backend server.
+/// Prints the latency that an entry host adds over the same request sent directly to a backend server.
 pub(crate) async fn compare_latency(cell: &Cell) -> Result<()> {
     let http_client: HttpClient = Client::builder(TokioExecutor::new()).build_http();
     let entry = cell.hosts[0].callers;
     let first = call(&http_client, entry, "/slots/0", None).await?;
     let parsed: serde_json::Value = serde_json::from_str(&first.body)?;
-    let backend: SocketAddr = parsed["instance"].as_str().context("the instance names itself")?.parse()?;
+    let backend: SocketAddr =
+        parsed["instance"].as_str().context("the response does not name the instance")?.parse()?;
     let (mut direct, mut via_entry) = (Vec::new(), Vec::new());
     for _ in 0..COMPARED_REQUESTS {
         direct.push(call(&http_client, backend, "/slots/0", None).await?.latency);
@@ -105,11 +107,11 @@
         times.sort();
         times[((times.len() - 1) as f64 * fraction) as usize].as_secs_f64() * 1000.0
     };
-    let (p50, p99) = (percentile(&mut direct, 0.5), percentile(&mut direct, 0.99));
-    let (t50, t99) = (percentile(&mut via_entry, 0.5), percentile(&mut via_entry, 0.99));
-    println!("\n{COMPARED_REQUESTS} requests each way, by turns        median ms   p99 ms");
-    println!("straight to the backend server         {p50:>8.3} {p99:>8.3}");
-    println!("through the entry host                 {t50:>8.3} {t99:>8.3}");
-    println!("added                                  {:>8.3} {:>8.3}", t50 - p50, t99 - p99);
+    let (direct_p50, direct_p99) = (percentile(&mut direct, 0.5), percentile(&mut direct, 0.99));
+    let (entry_p50, entry_p99) = (percentile(&mut via_entry, 0.5), percentile(&mut via_entry, 0.99));
+    println!("\n{COMPARED_REQUESTS} requests on each path, alternating median ms   p99 ms");
+    println!("directly to the backend server         {direct_p50:>8.3} {direct_p99:>8.3}");
+    println!("through the entry host                 {entry_p50:>8.3} {entry_p99:>8.3}");
+    println!("added                                  {:>8.3} {:>8.3}", entry_p50 - direct_p50, entry_p99 - direct_p99);
     Ok(())
 }
--- a/bins/walkhookd/examples/cell/main.rs
+++ b/bins/walkhookd/examples/cell/main.rs
@@ -1,9 +1,9 @@
-//! A whole cell on this machine, each part its own process: a stand-in platform, two data centres with two
-//! entry hosts each, stand-in workers, and the backend servers that the placed service instances become.
+//! Runs a whole cell on this machine, one process per component: a fake platform, two data centres with two entry
+//! hosts each, and fake workers, which run the service instances as backend servers.
 //!
-//! `cargo run --release --example cell` submits `plan.yaml`, sends requests through two entry hosts, prints
-//! what runs where and why and every answer, and stops everything cleanly. With `-- --stay` it stays up and
-//! prints the commands to try.
+//! `cargo run --release --example cell` submits `plan.yaml`, prints what runs where and why, sends requests through
+//! two entry hosts, prints every response, and stops all processes. With `-- --stay` the cell keeps running, and the
+//! example prints commands to try.
 
 mod callers;
 mod processes;
@@ -23,7 +23,7 @@
         return roles::run(rest);
     }
     let stay = arguments.iter().any(|argument| argument == "--stay");
-    let runtime = tokio::runtime::Runtime::new().expect("threads for the example");
+    let runtime = tokio::runtime::Runtime::new().expect("an async runtime");
     match runtime.block_on(run_demo(stay)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/bins/walkhookd/examples/cell/processes.rs
+++ b/bins/walkhookd/examples/cell/processes.rs
@@ -1,4 +1,4 @@
-//! Starts and stops the processes of the cell, and speaks to its operators' interface.
+//! Starts and stops the processes of the cell and sends statements to its operators' interface.
 
 use std::fs::File;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -44,23 +44,23 @@
     http: web::Client,
 }
 
-/// A loopback address of this run alone. A port that was free there, below those that the system gives to
-/// outgoing connections, stays free until its part takes it.
+/// Returns a loopback address that only this run uses. A port on it that is free, and below the range that the system
+/// assigns to outgoing connections, therefore stays free until a component binds it.
 fn own_ip() -> Ipv4Addr {
     let process = std::process::id();
     Ipv4Addr::new(127, 1 + (process % 250) as u8, (process / 250 % 250) as u8, 1)
 }
 
 fn free_addresses<const N: usize>() -> Result<[SocketAddr; N]> {
-    // All are taken at once, so that no two are the same.
+    // All listeners stay open until the last address is found, so that no two addresses are the same.
     let listeners: Vec<TcpListener> =
         (10_000..=u16::MAX).filter_map(|port| TcpListener::bind((own_ip(), port)).ok()).take(N).collect();
     let addresses: Vec<SocketAddr> = listeners.iter().map(TcpListener::local_addr).collect::<std::io::Result<_>>()?;
-    addresses.try_into().map_err(|_| anyhow::anyhow!("too few addresses"))
+    addresses.try_into().map_err(|_| anyhow::anyhow!("not enough free addresses"))
 }
 
 impl Cell {
-    /// Starts all parts and waits until every entry host serves.
+    /// Starts all processes and waits until every entry host accepts callers' requests.
     pub(crate) async fn start() -> Result<Cell> {
         let directory = std::env::temp_dir().join(format!("walkhook-cell-{}", std::process::id()));
         std::fs::create_dir_all(&directory)?;
@@ -121,9 +121,9 @@
     }
 
     fn start_hosts(&mut self, platform: SocketAddr) -> Result<()> {
-        let all = free_addresses::<{ 4 * HOSTS_PER_DATA_CENTRE * DATA_CENTRES.len() }>()?;
-        for (at, addresses) in all.chunks(4).enumerate() {
-            let (data_centre, number) = (DATA_CENTRES[at / HOSTS_PER_DATA_CENTRE], at % HOSTS_PER_DATA_CENTRE);
+        let host_addresses = free_addresses::<{ 4 * HOSTS_PER_DATA_CENTRE * DATA_CENTRES.len() }>()?;
+        for (index, addresses) in host_addresses.chunks(4).enumerate() {
+            let (data_centre, number) = (DATA_CENTRES[index / HOSTS_PER_DATA_CENTRE], index % HOSTS_PER_DATA_CENTRE);
             let [callers, operators, peers, relay] = [addresses[0], addresses[1], addresses[2], addresses[3]];
             let name = format!("{data_centre}-e{number}");
             self.hosts.push(EntryHost { name, data_centre, callers, operators, peers, relay });
@@ -145,17 +145,17 @@
         Ok(())
     }
 
-    /// Waits, as the balancer does, until an entry host says that it takes callers' requests.
+    /// Polls the health endpoint, as the load balancer does, until an entry host accepts callers' requests.
     async fn wait_until_ready(&self, callers: SocketAddr) -> Result<()> {
         let started_at = Instant::now();
         while self.http.get::<String>(&format!("http://{callers}/-/health")).await.is_err() {
-            ensure!(started_at.elapsed() < TIMEOUT, "{callers} does not get ready");
+            ensure!(started_at.elapsed() < TIMEOUT, "the entry host at {callers} does not become ready");
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
         Ok(())
     }
 
-    /// Carries a statement out at the first entry host that answers.
+    /// Sends a statement to the first entry host and fails unless it is carried out.
     pub(crate) async fn execute(&self, statement: &str, plan: Option<&str>) -> Result<Outcome> {
         let command =
             api::Command { statement: statement.to_owned(), command: Uuid::new_v4(), plan: plan.map(str::to_owned) };
@@ -165,7 +165,7 @@
         Ok(outcome)
     }
 
-    /// Waits until a statement shows at least so many rows.
+    /// Repeats a statement until its table has at least `rows` rows.
     pub(crate) async fn wait_for_rows(&self, statement: &str, rows: usize) -> Result<()> {
         let started_at = Instant::now();
         loop {
@@ -175,7 +175,7 @@
                 return Ok(());
             }
             if started_at.elapsed() > TIMEOUT {
-                bail!("{statement}: {found} rows, expected {rows}; logs in {}", self.directory.display());
+                bail!("{statement}: {found} rows, expected at least {rows}; logs in {}", self.directory.display());
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
@@ -185,16 +185,16 @@
         let outcome = self.execute(statement, None).await?;
         println!("\n> {statement}");
         let Some(table) = outcome.table else { return Ok(()) };
-        let all = || std::iter::once(&table.columns).chain(&table.rows);
-        let width = |at: usize| all().map(|row| row.get(at).map_or(0, String::len)).max().unwrap_or(0);
-        for row in all() {
-            let cells = row.iter().enumerate().map(|(at, cell)| format!("{cell:<width$}", width = width(at)));
+        let lines = || std::iter::once(&table.columns).chain(&table.rows);
+        let width = |column: usize| lines().map(|row| row.get(column).map_or(0, String::len)).max().unwrap_or(0);
+        for row in lines() {
+            let cells = row.iter().enumerate().map(|(column, cell)| format!("{cell:<width$}", width = width(column)));
             println!("{}", cells.collect::<Vec<_>>().join("  ").trim_end());
         }
         Ok(())
     }
 
-    /// Processor time and memory of each process so far.
+    /// Prints the processor time and the resident memory of each process so far.
     pub(crate) fn print_resource_usage(&self) {
         println!("\nprocess    cpu ms  resident KiB");
         for child in &self.children {
@@ -204,17 +204,17 @@
     }
 
     pub(crate) fn print_commands(&self) {
-        println!("\nthe cell stays up; try, from another terminal:");
+        println!("\nthe cell keeps running; commands to try from another terminal:");
         println!("  export WALKHOOK_KEY='{SHARED_KEY}'");
         println!("  cargo run --release --bin walkhook -- --entry {} show tasks", self.hosts[0].operators);
         println!("  curl -i -H 'x-team: rail' http://{}/slots/7", self.hosts[0].callers);
-        println!("press Ctrl-C to stop it");
+        println!("press Ctrl-C to stop the cell");
     }
 
-    /// Stops the entry hosts by SIGTERM and waits for them; then ends the stand-ins.
+    /// Stops the entry hosts with SIGTERM, waits for them, and then kills the fake platform and workers.
     pub(crate) async fn stop(&mut self, timeout: Duration) -> Vec<Option<i32>> {
         let names: Vec<&String> = self.hosts.iter().map(|host| &host.name).collect();
-        let (hosts, stand_ins): (Vec<ChildProcess>, Vec<ChildProcess>) =
+        let (hosts, fake_processes): (Vec<ChildProcess>, Vec<ChildProcess>) =
             std::mem::take(&mut self.children).into_iter().partition(|child| names.contains(&&child.name));
         for child in &hosts {
             let _ = Command::new("kill").args(["-TERM", &child.process.id().to_string()]).status();
@@ -223,7 +223,7 @@
         for mut child in hosts {
             codes.push(exit_code(&mut child.process, timeout).await);
         }
-        for mut child in stand_ins {
+        for mut child in fake_processes {
             let _ = child.process.kill();
             let _ = child.process.wait();
         }
@@ -254,7 +254,7 @@
     None
 }
 
-/// Processor milliseconds and resident KiB of a process.
+/// Returns the processor time in milliseconds and the resident memory in KiB of a process.
 fn resource_usage(id: u32) -> Option<(u64, u64)> {
     let process = Path::new("/proc").join(id.to_string());
     let stat = std::fs::read_to_string(process.join("stat")).ok()?;
@@ -266,12 +266,12 @@
 
 fn settings(host: &EntryHost, seed: &EntryHost, platform: SocketAddr) -> String {
     let EntryHost { name, data_centre, callers, operators, peers, relay } = host;
-    let all = DATA_CENTRES.join(", ");
+    let data_centres = DATA_CENTRES.join(", ");
     format!(
         "cell: example
 host: {name}
 data_centre: {data_centre}
-data_centres: [{all}]
+data_centres: [{data_centres}]
 listen:
   callers: {callers}
   operators: {operators}
--- a/bins/walkhookd/examples/cell/roles.rs
+++ b/bins/walkhookd/examples/cell/roles.rs
@@ -1,4 +1,4 @@
-//! The parts of the cell, each run as a process of its own by this same program.
+//! The components of the cell. Each runs as a process of its own, started from this executable.
 
 use std::process::ExitCode;
 
@@ -6,7 +6,7 @@
 use fakes::{Platform, Worker};
 use model::Resources;
 
-/// Runs the part that the words name: `platform ADDRESS`, `worker ADDRESS CORES`, `walkhookd SETTINGS`.
+/// Runs the component that the arguments name: `platform ADDRESS`, `worker ADDRESS CORES` or `walkhookd SETTINGS`.
 pub(crate) fn run(arguments: &[String]) -> ExitCode {
     let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
     match arguments.as_slice() {
@@ -28,14 +28,14 @@
         }
         ["walkhookd", settings] => {
             let cli = walkhookd::cli::Cli::from_args(&["walkhookd"], &["--settings", settings]);
-            walkhookd::main(&cli.expect("good arguments"))
+            walkhookd::main(&cli.expect("valid arguments"))
         }
-        other => panic!("no such part: {other:?}"),
+        other => panic!("unknown role: {other:?}"),
     }
 }
 
 fn block_on(role: impl Future<Output = ()>) -> ExitCode {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
-    runtime.expect("threads for the part").block_on(role);
+    runtime.expect("an async runtime").block_on(role);
     ExitCode::SUCCESS
 }
--- a/bins/walkhookd/examples/load/main.rs
+++ b/bins/walkhookd/examples/load/main.rs
@@ -1,8 +1,8 @@
 //! Measures requests under load: `cargo run --release --example load`. Takes about a minute.
 //!
-//! Callers send at fixed rates, whatever becomes of earlier requests, at 0.5 to 5 times what the instances can do:
-//! through two entry hosts, and, in the same run, straight to instances chosen at random without admission. What
-//! counts is what is answered before its deadline.
+//! Callers send at fixed rates, independent of the responses to earlier requests (open loop), at 0.5 to 5 times the
+//! capacity of the instances: through two entry hosts and, in the same run, directly to the instances in turn, without
+//! admission control. The measure is the rate of requests that are answered before their deadline.
 
 #[path = "../../tests/support/mod.rs"]
 mod support;
@@ -31,11 +31,11 @@
 #[derive(Default)]
 struct Tally {
     sent: usize,
-    /// Times of those answered by an instance before the deadline.
+    /// Latencies of the requests that an instance answered before the deadline.
     in_time: Vec<Duration>,
-    /// Refused as "not run", with the time that took.
+    /// Latencies of the requests that were refused with status 503 (not run).
     refused: Vec<Duration>,
-    /// All others: late, unknown, broken.
+    /// All other requests: late, of unknown outcome, or failed.
     failed: usize,
 }
 
@@ -51,14 +51,14 @@
     };
     wait_until("all instances run", || async { instances(&cell).len() == INSTANCES }).await;
     for host in 0..2 {
-        wait_until("it answers", || async {
+        wait_until("slot checks are answered", || async {
             cell.call(host, "/slots/1", None).await.is_some_and(|response| response.status == 200)
         })
         .await;
     }
     let capacity = INSTANCES as f64 * SLOTS_PER_INSTANCE / REQUEST_TIME.as_secs_f64();
-    println!("capacity: {capacity:.0} requests a second; deadline {DEADLINE:?}; two entry hosts");
-    println!("load  way       sent   good/s  of capacity  p50 ms  p99 ms  refused  refused p99 ms  lost  peak slots");
+    println!("capacity: {capacity:.0} requests per second; deadline {DEADLINE:?}; two entry hosts");
+    println!("load  target    sent  goodput  of capacity  p50 ms  p99 ms  refused  refused p99 ms failed peak slots");
     let instance_addresses = instances(&cell);
     let entry_addresses: Vec<SocketAddr> = cell.hosts.iter().map(|host| host.callers).collect();
     for load in [0.5, 1.0, 2.0, 5.0] {
@@ -76,17 +76,17 @@
             if target == "walkhook" {
                 let cpu_ms_per_request = cpu_ms as f64 / tally.sent as f64;
                 println!(
-                    "      processor time of the entry hosts: {cpu_ms_per_request:.3} ms a request, {:.0} requests a second and core",
+                    "      processor time of the entry hosts: {cpu_ms_per_request:.3} ms per request, {:.0} requests per core-second",
                     1000.0 / cpu_ms_per_request
                 );
             }
-            // What is left over of this load must not weigh on the next.
+            // Requests still in progress must complete before the next load starts.
             tokio::time::sleep(Duration::from_secs(2)).await;
         }
     }
 }
 
-/// Sends at a fixed rate, to each address in turn.
+/// Sends requests at a fixed rate, to the addresses in turn.
 async fn send_at_rate(http_client: &HttpClient, to: &[SocketAddr], rate: f64) -> Tally {
     let tally = Arc::new(Mutex::new(Tally::default()));
     let started_at = Instant::now();
@@ -116,7 +116,7 @@
         .uri(format!("http://{to}/slots/1"))
         .header("walkhook-deadline-ms", DEADLINE.as_millis().to_string())
         .body(Full::new(Bytes::new()))
-        .expect("a good request");
+        .expect("a valid request");
     let started_at = Instant::now();
     let result = tokio::time::timeout(DEADLINE, async {
         let response = http_client.request(request).await.ok()?;
@@ -125,11 +125,11 @@
         Some(status)
     })
     .await;
-    let took = started_at.elapsed();
+    let latency = started_at.elapsed();
     let mut tally = tally.lock().await;
     match result {
-        Ok(Some(200)) => tally.in_time.push(took),
-        Ok(Some(503)) => tally.refused.push(took),
+        Ok(Some(200)) => tally.in_time.push(latency),
+        Ok(Some(503)) => tally.refused.push(latency),
         _ => tally.failed += 1,
     }
 }
--- a/bins/walkhookd/tests/callers.rs
+++ b/bins/walkhookd/tests/callers.rs
@@ -86,15 +86,15 @@
             responses
         }));
     }
-    let mut all = BTreeMap::new();
+    let mut responses = BTreeMap::new();
     for task in tasks {
-        all.extend(task.await.expect("the task did not panic"));
+        responses.extend(task.await.expect("the task did not panic"));
     }
-    all
+    responses
 }
 
-/// Asserts that the responses agree with what the backend servers ran: no key ran twice, all answers to a key are equal,
-/// and the outcome "not-run" comes last only for keys that never ran.
+/// Asserts that the responses agree with what the backend servers ran: no key ran twice, all answers to a key are
+/// equal, and the last outcome of a key is "not-run" only if it never ran.
 fn assert_responses_match_runs(cell: &Cell, responses: &BTreeMap<String, Vec<Response>>) {
     let runs = cell.runs_by_key();
     for (key, responses) in responses {
--- a/bins/walkhookd/tests/support/mod.rs
+++ b/bins/walkhookd/tests/support/mod.rs
@@ -66,7 +66,8 @@
     own_executable
 }
 
-/// Main function of an example: runs the daemon in processes started with `--role walkhookd`, otherwise the measurement.
+/// Main function of an example: runs the daemon in processes started with `--role walkhookd`, and the measurement
+/// otherwise.
 pub fn run_example(measurement: impl Future<Output = ()>) -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let argument_refs: Vec<&str> = arguments.iter().map(String::as_str).collect();
@@ -187,8 +188,8 @@
         Cell::start_with_platform(platform, layout, timings, &BTreeMap::new()).await
     }
 
-    /// Like [`Cell::start_with_timings`], with a platform that already runs. The data centres in `doors` reach the platform
-    /// through an address of their own.
+    /// Like [`Cell::start_with_timings`], with a platform that already runs. The data centres in `doors` reach the
+    /// platform through an address of their own.
     pub async fn start_with_platform(
         platform: Platform,
         layout: &[Layout],
@@ -236,7 +237,7 @@
         let addresses: Vec<SocketAddr> =
             (0..count * 4).map(|offset| SocketAddr::from((fakes::own_ip(), FIRST_PORT + offset as u16))).collect();
         let seed = addresses[2];
-        let all: Vec<&str> = layout.iter().map(|(name, _, _)| *name).collect();
+        let data_centres: Vec<&str> = layout.iter().map(|(name, _, _)| *name).collect();
         let mut address_chunks = addresses.chunks(4);
         for (data_centre, hosts, _) in layout {
             for number in 0..*hosts {
@@ -244,7 +245,7 @@
                 let name = format!("{data_centre}-e{number}");
                 let file = self.directory.path().join(format!("{name}.yaml"));
                 let platform = doors.get(data_centre).map_or(self.platform.address(), |door| door.address);
-                let text = settings(&name, data_centre, &all, host_addresses, seed, platform, timings);
+                let text = settings(&name, data_centre, &data_centres, host_addresses, seed, platform, timings);
                 std::fs::write(&file, text).expect("a settings file");
                 let (callers, operators, relay) = (host_addresses[0], host_addresses[1], host_addresses[3]);
                 self.hosts.push(EntryHost { name, callers, operators, relay, settings: file, process: None });
@@ -437,7 +438,7 @@
 fn settings(
     name: &str,
     data_centre: &str,
-    all: &[&str],
+    data_centres: &[&str],
     host_addresses: &[SocketAddr],
     seed: SocketAddr,
     platform: SocketAddr,
@@ -458,7 +459,7 @@
   - {{ name: check, path: /slots, service: planner, priority: urgent, deadline: 5s, repeatable: true }}
   - {{ name: booking, path: /bookings, service: planner, priority: urgent, deadline: 5s }}
 ",
-        all.join(", ")
+        data_centres.join(", ")
     )
 }
 
--- a/bins/walkhookd/tests/work.rs
+++ b/bins/walkhookd/tests/work.rs
@@ -7,8 +7,8 @@
 use support::{Cell, batch, wait_until};
 
 fn running(cell: &Cell, workload: &str) -> usize {
-    let all = cell.workers.iter().flat_map(|(_, worker)| worker.running());
-    all.filter(|task| task.workload == workload).count()
+    let tasks = cell.workers.iter().flat_map(|(_, worker)| worker.running());
+    tasks.filter(|task| task.workload == workload).count()
 }
 
 fn workload_plan(name: &str, kind: &str, priority: &str, tasks: u32, processors: u32, run: &str) -> String {
@@ -84,9 +84,9 @@
         cell.wait_for_rows(host, "show teams where team = rail", 1).await;
     }
     let mut names = BTreeSet::new();
-    for at in 0..6 {
-        let name = format!("job-{at}");
-        cell.submit(at % 3, &batch(&name, 4, 1, "run 200ms")).await;
+    for index in 0..6 {
+        let name = format!("job-{index}");
+        cell.submit(index % 3, &batch(&name, 4, 1, "run 200ms")).await;
         names.insert(name);
     }
     cell.wait_for_rows(0, "show tasks where state = finished", 24).await;
