--- a/bins/walkhookd/tests/platform.rs
+++ b/bins/walkhookd/tests/platform.rs
@@ -186,7 +186,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn tasks_of_cancelled_workloads_are_never_started() {
+async fn waiting_tasks_of_cancelled_workloads_are_never_started() {
     let cell = Cell::start(&[("gt-1", 2, 2)]).await;
     cell.submit(0, &batch("full", 16, 1, "run 10m")).await;
     cell.wait_for_rows(0, "show tasks where state = running", 16).await;
