--- a/components/entry/src/election.rs
+++ b/components/entry/src/election.rs
@@ -129,7 +129,7 @@
     }
     if let Role::Following(current, link) = host.role()
         && current == leader
-        && !link.is_down()
+        && !link.is_closed()
     {
         return;
     }
@@ -220,7 +220,7 @@
     let mut differed = false;
     while missed < MAX_MISSED_PINGS {
         tokio::select! {
-            () = link.down() => break,
+            () = link.closed() => break,
             () = tokio::time::sleep(pause) => {}
         }
         let sent = host.started.elapsed();
@@ -283,7 +283,7 @@
     match host.role() {
         Role::Leading(leadership) => leadership.request_record_rewrite(),
         Role::Following(_, link) => {
-            let silent = link.silence() > MAX_LINK_SILENCE;
+            let silent = link.time_since_last_frame() > MAX_LINK_SILENCE;
             if silent || link.call(Call::Missing, PING_INTERVAL).await != Ok(Answer::Done) {
                 claim_if_free(host, record_revision, Predecessor::Unknown).await;
             }
--- a/components/entry/src/host.rs
+++ b/components/entry/src/host.rs
@@ -107,7 +107,7 @@
 impl Follower {
     /// Whether it can be called now.
     fn is_live(&self) -> bool {
-        self.link.silence() < MAX_FOLLOWER_SILENCE
+        self.link.time_since_last_frame() < MAX_FOLLOWER_SILENCE
     }
 }
 
@@ -296,9 +296,9 @@
         let mut followers = self.followers.lock();
         followers
             .values()
-            .filter(|follower| follower.link.silence() > FOLLOWER_TIMEOUT)
+            .filter(|follower| follower.link.time_since_last_frame() > FOLLOWER_TIMEOUT)
             .for_each(|gone| gone.link.close());
-        followers.retain(|_, follower| !follower.link.is_down());
+        followers.retain(|_, follower| !follower.link.is_closed());
         followers.values().filter(|follower| follower.is_live()).cloned().collect()
     }
 
@@ -339,7 +339,7 @@
                 Role::Leading(leadership) => Some(leadership.answer(call.clone()).await),
                 Role::Following(_, link) => {
                     let outcome = link.call(call.clone(), remaining.min(answer_timeout(&call))).await;
-                    sent |= outcome != Err(link::Fault::Down);
+                    sent |= outcome != Err(link::CallError::NotSent);
                     outcome.ok()
                 }
             };
