--- a/bins/walkhook/tests/job.rs
+++ b/bins/walkhook/tests/job.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use console::Console;
-use fakes::cell::{Cell, Conduct};
+use fakes::cell::{Cell, SimulatedRun};
 use model::Resources;
 use sched::{RunOutcome, WorkerInfo};
 use work::key::Digest;
@@ -50,8 +50,8 @@
         evacuated: false,
     };
     cell.add_worker("w1", info);
-    cell.conduct(Conduct { takes: Duration::from_secs(600), how: RunOutcome::Done });
-    let host = cell.host("host-1").await.expect("a free port");
+    cell.simulate_runs(SimulatedRun { duration: Duration::from_secs(600), outcome: RunOutcome::Done });
+    let host = cell.start_host("host-1").await.expect("a free port");
     let end = Instant::now() + PATIENCE;
     while !host.ready() {
         assert!(Instant::now() < end, "never ready");
@@ -131,7 +131,7 @@
         limit: Resources::new(8, 0, 0),
     };
     let keyed = Config::new(4, config().queues, 10_000).with_workspaces(vec![workspace]);
-    served.cell.configure(keyed);
+    served.cell.set_config(keyed);
     let end = Instant::now() + PATIENCE;
     loop {
         let table = text(&walkhook(&served, &["workspaces"]).await);
--- a/bins/walkhookd/tests/platform.rs
+++ b/bins/walkhookd/tests/platform.rs
@@ -107,7 +107,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_data_centre_cut_off_from_the_platform_heals_its_instances_and_hears_of_changes() {
     let platform = Platform::start(any_port()).await.expect("a free port");
-    let doors = BTreeMap::from([("gt-2", platform.door().await.expect("a free port"))]);
+    let doors = BTreeMap::from([("gt-2", platform.add_endpoint().await.expect("a free port"))]);
     let cell = Cell::start_with(platform, &[("gt-1", 1, 2), ("gt-2", 2, 3)], FAST, &doors).await;
     cell.submit(0, SERVICE).await;
     let running = || {
@@ -115,7 +115,7 @@
         there.map(|(_, worker)| worker.running().len()).sum::<usize>()
     };
     until("its share runs", || async { running() == 2 }).await;
-    doors["gt-2"].cut(true);
+    doors["gt-2"].set_cut_off(true);
     let (_, busy) = cell
         .workers
         .iter()
@@ -130,7 +130,7 @@
         .await;
     let refused = cell.ask(1, "cancel workload planner", None).await.expect("an answer");
     assert_ne!(refused.status, Status::Done);
-    doors["gt-2"].cut(false);
+    doors["gt-2"].set_cut_off(false);
     until("it accepts again", || async {
         let outcome = cell.ask(1, "change workload planner set instances = 6", None).await;
         outcome.is_some_and(|outcome| outcome.status == Status::Done)
--- a/bins/walkhookd/tests/support/mod.rs
+++ b/bins/walkhookd/tests/support/mod.rs
@@ -11,7 +11,7 @@
 use api::{Outcome, Status};
 use argh::FromArgs;
 use bytes::Bytes;
-use fakes::{Door, Platform, Worker, any_port};
+use fakes::{Endpoint, Platform, Worker, any_port};
 use http::{Method, Request};
 use http_body_util::{BodyExt, Full};
 use hyper_util::client::legacy::Client;
@@ -184,7 +184,12 @@
     }
 
     /// The same with a platform that runs already, which some data centres reach by an address of their own.
-    pub async fn start_with(platform: Platform, layout: &[Layout], pace: &str, doors: &BTreeMap<&str, Door>) -> Cell {
+    pub async fn start_with(
+        platform: Platform,
+        layout: &[Layout],
+        pace: &str,
+        doors: &BTreeMap<&str, Endpoint>,
+    ) -> Cell {
         let folder = tempfile::tempdir().expect("a folder");
         let mut cell = Cell {
             platform,
@@ -215,11 +220,11 @@
         let capacity = Resources::new(CORES, CORES * 4096, 0);
         let worker = Worker::start(any_port(), capacity).await.expect("a free port");
         let name = format!("{data_centre}-w{number}");
-        self.platform.list(listed(&name, data_centre, number, worker.address(), capacity, false));
+        self.platform.add_host(listed(&name, data_centre, number, worker.address(), capacity, false));
         self.workers.push((name, worker));
     }
 
-    fn write_settings(&mut self, layout: &[Layout], pace: &str, doors: &BTreeMap<&str, Door>) {
+    fn write_settings(&mut self, layout: &[Layout], pace: &str, doors: &BTreeMap<&str, Endpoint>) {
         let count: usize = layout.iter().map(|(_, hosts, _)| hosts).sum();
         // Not tried out by listening: a listener of this process lives on for a moment in every child that another
         // test is just starting, and its port would be taken when the host wants it.
--- a/bins/walkhookd/tests/workers.rs
+++ b/bins/walkhookd/tests/workers.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeSet;
 
-use fakes::Conduct;
+use fakes::WorkerFault;
 use model::Resources;
 use support::{CORES, Cell, SERVICE, batch, listed, until};
 
@@ -22,14 +22,14 @@
     cell.submit(0, &batch("long", 12, 1, "run 10m")).await;
     until("all run", || async { running(&cell) == 12 }).await;
     let (silent, worker) = cell.workers.iter().max_by_key(|(_, worker)| worker.running().len()).expect("workers");
-    worker.conduct(Conduct::Silent);
+    worker.set_fault(WorkerFault::Unresponsive);
     // At every look: never in two places, also while the silent worker's own leases run out.
     until("all run elsewhere", || async {
         assert_eq!(cell.doubled(), []);
         running_on(&cell, silent) == 0 && running(&cell) == 12
     })
     .await;
-    worker.conduct(Conduct::Good);
+    worker.set_fault(WorkerFault::None);
     cell.until_rows(0, "show workers where state = live", 3).await;
     assert_eq!(cell.doubled(), []);
     cell.until_rows(0, "show tasks where state = running", 12).await;
@@ -55,7 +55,7 @@
     until("all run", || async { running(&cell) == 10 }).await;
     let (name, worker) = cell.workers.iter().max_by_key(|(_, worker)| worker.running().len()).expect("workers");
     let capacity = Resources::new(CORES, CORES * 4096, 0);
-    cell.platform.list(listed(name, "gt-1", 0, worker.address(), capacity, true));
+    cell.platform.add_host(listed(name, "gt-1", 0, worker.address(), capacity, true));
     until("it is empty", || async { worker.running().is_empty() }).await;
     until("all run elsewhere", || async { running(&cell) == 10 }).await;
     let started = worker.starts().len();
@@ -81,7 +81,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_worker_that_fails_everything_is_found_out_and_the_work_gets_done() {
     let cell = Cell::start(&[("gt-1", 2, 4)]).await;
-    cell.worker("gt-1-w0").conduct(Conduct::FailsEverything);
+    cell.worker("gt-1-w0").set_fault(WorkerFault::FailAllTasks);
     for name in ["a", "b", "c", "d", "e"] {
         cell.submit(0, &batch(name, 6, 1, "run 100ms")).await;
     }
--- a/components/entry/examples/takeover.rs
+++ b/components/entry/examples/takeover.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use entry::{Answer, Call, Caller, Host, Role};
-use fakes::cell::{Cell, Conduct};
+use fakes::cell::{Cell, SimulatedRun};
 use model::Resources;
 use sched::{RunOutcome, WorkerInfo};
 use tokio::time::sleep;
@@ -43,15 +43,15 @@
 async fn measure(workers: usize) -> anyhow::Result<()> {
     let cell = Cell::new(Config::new(1, vec![queue()], 100_000));
     (0..workers).for_each(|number| cell.add_worker(&format!("w{number:05}"), info(number)));
-    cell.conduct(Conduct { takes: TASK_DURATION, how: RunOutcome::Done });
-    cell.workers_wait(Duration::from_secs(2));
-    let mut hosts = vec![cell.host("host-0").await?];
+    cell.simulate_runs(SimulatedRun { duration: TASK_DURATION, outcome: RunOutcome::Done });
+    cell.set_max_worker_wait(Duration::from_secs(2));
+    let mut hosts = vec![cell.start_host("host-0").await?];
     wait_until(|| leads(&hosts[0])).await;
     for number in 1..=FOLLOWERS {
-        hosts.push(cell.host(&format!("host-{number}")).await?);
+        hosts.push(cell.start_host(&format!("host-{number}")).await?);
     }
     wait_until(|| cell.first_calls(1).len() == workers && hosts.iter().all(|host| host.ready())).await;
-    cell.call_costs(CALL_COST);
+    cell.set_call_cpu_time(CALL_COST);
     let load =
         tokio::spawn(submit(hosts[FOLLOWERS].clone(), Duration::from_secs(1) / (workers / WORKERS_PER_JOB) as u32));
     sleep(WARM_UP).await;
@@ -72,7 +72,7 @@
         accepted - began,
         started - began,
         called - began,
-        cell.most_first_calls_at_once()
+        cell.max_concurrent_first_calls()
     );
     load.abort();
     for host in hosts {
--- a/components/entry/tests/access.rs
+++ b/components/entry/tests/access.rs
@@ -62,7 +62,7 @@
 #[tokio::test]
 async fn a_key_gives_access_to_its_workspace_only() {
     let cell = new_cell();
-    cell.configure(config_with_keys(2, &[("rail", &["one", "two"]), ("port", &["three"])]));
+    cell.set_config(config_with_keys(2, &[("rail", &["one", "two"]), ("port", &["three"])]));
     let hosts = start_hosts(&cell, 2).await;
     wait_until("the configuration", || hosts[1].config().version == 2).await;
     for (brought, denial) in [
@@ -87,12 +87,12 @@
 #[tokio::test]
 async fn a_revoked_key_is_rejected_even_through_an_outdated_host() {
     let cell = new_cell();
-    cell.configure(config_with_keys(2, &[("rail", &["one", "two"])]));
+    cell.set_config(config_with_keys(2, &[("rail", &["one", "two"])]));
     let hosts = start_hosts(&cell, 2).await;
     wait_until("the configuration", || hosts[1].config().version == 2).await;
     let (old, kept) = (caller(&hosts[1], "one").await, caller(&hosts[1], "two").await);
     assert_eq!(submit_as(&hosts[1], &old, 7, 1).await, Answer::Accepted);
-    cell.configure(config_with_keys(3, &[("rail", &["two"])]));
+    cell.set_config(config_with_keys(3, &[("rail", &["two"])]));
     wait_until("the leader knows", || hosts[0].config().version == 3).await;
     // The other host admitted the caller by its older configuration.
     let denied = Answer::NotAdmitted(AccessRefusal::Denied(Denial::Unknown));
@@ -108,7 +108,7 @@
 #[tokio::test]
 async fn an_outdated_leader_follows_the_newer_configuration_of_the_asking_host() {
     let cell = new_cell();
-    cell.configure(config_with_keys(2, &[("rail", &["one"])]));
+    cell.set_config(config_with_keys(2, &[("rail", &["one"])]));
     let hosts = start_hosts(&cell, 2).await;
     let newer = Client { queue: "plans".to_owned(), key: key("new"), workspace: Some("rail".to_owned()), version: 3 };
     assert_eq!(submit_as(&hosts[0], &Caller::Client(newer), 7, 1).await, Answer::Accepted);
@@ -118,11 +118,11 @@
 async fn hosts_refused_by_the_store_get_the_configuration_from_others() {
     let cell = new_cell();
     let hosts = start_hosts(&cell, 3).await;
-    cell.turn_away("host-1", true);
-    cell.configure(config_with_keys(2, &[("rail", &["one"])]));
+    cell.set_store_unavailable("host-1", true);
+    cell.set_config(config_with_keys(2, &[("rail", &["one"])]));
     wait_until("a follower learns it", || hosts[1].config().version == 2).await;
-    cell.turn_away("host-0", true);
-    cell.configure(config_with_keys(3, &[("rail", &["two"])]));
+    cell.set_store_unavailable("host-0", true);
+    cell.set_config(config_with_keys(3, &[("rail", &["two"])]));
     wait_until("the leader learns it", || hosts[0].config().version == 3).await;
     wait_until("so does the follower", || hosts[1].config().version == 3).await;
 }
@@ -130,17 +130,17 @@
 #[tokio::test]
 async fn a_possibly_outdated_configuration_refuses_no_caller() {
     let cell = new_cell();
-    cell.configure(config_with_keys(2, &[("rail", &["one"])]));
+    cell.set_config(config_with_keys(2, &[("rail", &["one"])]));
     let hosts = start_hosts(&cell, 1).await;
-    cell.turn_away("host-0", true);
+    cell.set_store_unavailable("host-0", true);
     wait_until("the key is there", || hosts[0].config().version == 2).await;
     let end = Instant::now() + TEST_TIMEOUT;
     while refusal(&admit(&hosts[0], key("new")).await).is_some() {
         assert!(Instant::now() < end, "it goes on refusing");
     }
     assert!(matches!(admit(&hosts[0], key("one")).await, Admission::Granted(..)), "a key that it knows is let in");
-    cell.configure(config_with_keys(3, &[("rail", &["one", "new"])]));
-    cell.turn_away("host-0", false);
+    cell.set_config(config_with_keys(3, &[("rail", &["one", "new"])]));
+    cell.set_store_unavailable("host-0", false);
     wait_until("it is up to date", || hosts[0].config().version == 3).await;
     assert!(matches!(admit(&hosts[0], key("new")).await, Admission::Granted(..)));
 }
@@ -149,18 +149,18 @@
 async fn jobs_stay_visible_to_their_sender_when_a_queue_becomes_private_or_public() {
     let cell = new_cell();
     let open = |version| Config::new(version, config(version).queues, 10_000);
-    cell.configure(open(2).with_workspaces(vec![workspace("rail", &["one"])]));
+    cell.set_config(open(2).with_workspaces(vec![workspace("rail", &["one"])]));
     let hosts = start_hosts(&cell, 1).await;
     let host = &hosts[0];
     wait_until("the first", || host.config().version == 2).await;
     let Admission::Granted(_, anybody) = admit(host, Credential::Nothing).await else { panic!("it is public") };
     assert_eq!(submit_as(host, &Caller::Client(anybody), 7, 1).await, Answer::Accepted);
-    cell.configure(config_with_keys(3, &[("rail", &["one"]), ("port", &["two"])]));
+    cell.set_config(config_with_keys(3, &[("rail", &["one"]), ("port", &["two"])]));
     wait_until("the second", || host.config().version == 3).await;
     let rail = caller(host, "one").await;
     assert!(matches!(state_as(host, &rail, 7).await, Answer::State(Some(_))));
     assert_eq!(submit_as(host, &rail, 8, 1).await, Answer::Accepted);
-    cell.configure(open(4).with_workspaces(vec![workspace("rail", &["one"]), workspace("port", &["two"])]));
+    cell.set_config(open(4).with_workspaces(vec![workspace("rail", &["one"]), workspace("port", &["two"])]));
     wait_until("the third", || host.config().version == 4).await;
     assert!(matches!(state_as(host, &caller(host, "one").await, 8).await, Answer::State(Some(_))));
     assert_eq!(state_as(host, &caller(host, "two").await, 8).await, Answer::State(None));
@@ -169,7 +169,7 @@
 #[tokio::test]
 async fn a_flood_of_invalid_keys_causes_no_store_calls() {
     let cell = new_cell();
-    cell.configure(config_with_keys(2, &[("rail", &["one"])]));
+    cell.set_config(config_with_keys(2, &[("rail", &["one"])]));
     let hosts = start_hosts(&cell, 2).await;
     wait_until("the configuration", || hosts[1].config().version == 2).await;
     let rail = caller(&hosts[1], "one").await;
@@ -195,7 +195,7 @@
 #[tokio::test]
 async fn a_job_that_can_never_run_within_the_limit_is_refused_at_once() {
     let cell = new_cell();
-    cell.configure(config_with_keys(2, &[("rail", &["one"])]));
+    cell.set_config(config_with_keys(2, &[("rail", &["one"])]));
     let hosts = start_hosts(&cell, 2).await;
     wait_until("the configuration", || hosts[0].config().version == 2 && hosts[1].config().version == 2).await;
     let rail = caller(&hosts[1], "one").await;
@@ -220,21 +220,21 @@
 #[tokio::test]
 async fn a_job_possibly_accepted_by_an_earlier_leader_is_not_denied_by_the_next() {
     let cell = new_cell();
-    cell.configure(config_with_keys(2, &[("rail", &["one", "two"])]));
+    cell.set_config(config_with_keys(2, &[("rail", &["one", "two"])]));
     let hosts = start_hosts(&cell, 2).await;
     wait_until("the configuration", || hosts[1].config().version == 2).await;
     let old = caller(&hosts[1], "one").await;
     let before = cell.commits();
-    cell.commit_takes(Duration::from_secs(2));
+    cell.set_commit_delay(Duration::from_secs(2));
     let submitted = tokio::spawn({
         let (host, caller) = (hosts[1].clone(), old.clone());
         async move { submit_as(&host, &caller, 7, 1).await }
     });
     wait_until("it is written", || cell.commits() > before).await;
-    cell.configure(config_with_keys(3, &[("rail", &["two"])]));
+    cell.set_config(config_with_keys(3, &[("rail", &["two"])]));
     wait_until("both know", || hosts.iter().all(|host| host.config().version == 3)).await;
     hosts[0].stop().await;
-    cell.commit_takes(Duration::ZERO);
+    cell.set_commit_delay(Duration::ZERO);
     let answer = submitted.await.expect("an answer");
     assert!(!matches!(answer, Answer::NotAdmitted(_)), "{answer:?}, and it runs");
     let done = Answer::State(Some(State::Ended(work::Outcome::Completed)));
--- a/components/entry/tests/heartbeat.rs
+++ b/components/entry/tests/heartbeat.rs
@@ -31,8 +31,8 @@
 async fn a_follower_refused_by_the_store_gets_a_new_configuration() {
     let cell = new_cell();
     let hosts = start_hosts(&cell, 2).await;
-    cell.turn_away("host-1", true);
-    cell.configure(config(2));
+    cell.set_store_unavailable("host-1", true);
+    cell.set_config(config(2));
     wait_until("it is in force", || hosts[1].config().version == 2).await;
     assert!(leads(&hosts[0]));
 }
@@ -41,8 +41,8 @@
 async fn followers_get_a_new_configuration_that_the_leader_cannot_read() {
     let cell = new_cell();
     let hosts = start_hosts(&cell, 3).await;
-    cell.turn_away("host-0", true);
-    cell.configure(config(2));
+    cell.set_store_unavailable("host-0", true);
+    cell.set_config(config(2));
     wait_until("it is in force everywhere", || hosts.iter().all(|host| host.config().version == 2)).await;
 }
 
--- a/components/entry/tests/log.rs
+++ b/components/entry/tests/log.rs
@@ -29,7 +29,7 @@
         wait_until("it is recorded", || count_worker_records(&cell) == number + 1).await;
     }
     for round in 0..3 {
-        cell.suspended("host-0", PAST_RETENTION);
+        cell.suspend_host("host-0", PAST_RETENTION);
         // Each transaction deletes some old parts.
         for job in 0..20 {
             assert_eq!(submit(&hosts[0], round * 100 + job, 1).await, Answer::Accepted);
--- a/components/entry/tests/restart.rs
+++ b/components/entry/tests/restart.rs
@@ -12,7 +12,7 @@
 mod support;
 
 use entry::Answer;
-use fakes::cell::{Cell, Conduct};
+use fakes::cell::{Cell, SimulatedRun};
 use sched::RunOutcome;
 use support::{TEST_TIMEOUT, new_cell, start_hosts, submit, wait_for_end, wait_until, worker_info};
 use work::Outcome;
@@ -30,7 +30,7 @@
         assert_eq!(submit(&hosts[0], id, 1).await, Answer::Accepted);
         assert_eq!(wait_for_end(&hosts[0], id).await, Outcome::Completed);
     }
-    let acknowledged = |id| cell.worker(id, |worker| worker.ended.is_empty()) == Some(true);
+    let acknowledged = |id| cell.update_worker(id, |worker| worker.ended.is_empty()) == Some(true);
     wait_until("all ends are acknowledged", || acknowledged("w0") && acknowledged("w1")).await;
     (0..2).for_each(|number| cell.add_worker(&format!("w{number}"), worker_info(number)));
     for id in JOBS..2 * JOBS {
@@ -47,7 +47,7 @@
     let cell = new_cell();
     (0..2).for_each(|number| add_incarnation(&cell, number, 1000));
     let hosts = start_hosts(&cell, 1).await;
-    cell.conduct(Conduct { takes: TEST_TIMEOUT, how: RunOutcome::Done });
+    cell.simulate_runs(SimulatedRun { duration: TEST_TIMEOUT, outcome: RunOutcome::Done });
     assert_eq!(submit(&hosts[0], 7, 1).await, Answer::Accepted);
     let restarts = async {
         for starts in 1..=MAX_STARTS {
@@ -65,5 +65,5 @@
 
 /// Adds worker `number`, or its next incarnation, started at `birth`.
 fn add_incarnation(cell: &Cell, number: usize, started_at: u64) {
-    cell.add_life(&format!("w{number}"), worker_info(number), Some(started_at));
+    cell.add_incarnation(&format!("w{number}"), worker_info(number), Some(started_at));
 }
--- a/components/entry/tests/support/mod.rs
+++ b/components/entry/tests/support/mod.rs
@@ -104,7 +104,7 @@
 pub async fn start_hosts(cell: &Arc<Cell>, count: usize) -> Vec<Arc<Host>> {
     let mut hosts: Vec<Arc<Host>> = Vec::new();
     for number in 0..count {
-        let host = cell.host(&format!("host-{number}")).await.expect("a free port");
+        let host = cell.start_host(&format!("host-{number}")).await.expect("a free port");
         wait_until("ready", || host.ready()).await;
         hosts.push(host);
     }
--- a/components/entry/tests/takeover.rs
+++ b/components/entry/tests/takeover.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use entry::{Answer, Role};
-use fakes::cell::{Cell, Conduct};
+use fakes::cell::{Cell, SimulatedRun};
 use model::Resources;
 use sched::{RunOutcome, WorkerInfo};
 use support::{leads, new_cell, start_hosts, submit, wait_for_end, wait_until, worker_info};
@@ -35,7 +35,7 @@
     });
     let hosts = start_hosts(&cell, 2).await;
     wait_until("all workers are called", || cell.first_calls(1).len() == workers).await;
-    cell.conduct(Conduct { takes: Duration::from_secs(3), how: RunOutcome::Done });
+    cell.simulate_runs(SimulatedRun { duration: Duration::from_secs(3), outcome: RunOutcome::Done });
     assert_eq!(submit(&hosts[1], 7, 20).await, Answer::Accepted);
     wait_until("all tasks run", || cell.starts().len() == 20).await;
     (cell, hosts)
@@ -75,10 +75,10 @@
 #[tokio::test]
 async fn few_workers_are_called_at_once() {
     let (cell, hosts) = start_busy_cell(WORKERS).await;
-    cell.first_call_takes(Duration::from_millis(5));
+    cell.set_first_call_delay(Duration::from_millis(5));
     let next = take_over(&hosts).await;
     wait_until("all workers are called", || cell.first_calls(next).len() >= WORKERS).await;
-    assert!(cell.most_first_calls_at_once() <= MAX_FIRST_CALLS, "{} at once", cell.most_first_calls_at_once());
+    assert!(cell.max_concurrent_first_calls() <= MAX_FIRST_CALLS, "{} at once", cell.max_concurrent_first_calls());
     assert_eq!(wait_for_end(&hosts[1], 7).await, Outcome::Completed);
 }
 
@@ -86,7 +86,7 @@
 #[tokio::test]
 async fn silent_workers_do_not_delay_others() {
     let (cell, hosts) = start_busy_cell(WORKERS).await;
-    cell.first_call_takes(Duration::from_secs(600));
+    cell.set_first_call_delay(Duration::from_secs(600));
     let next = take_over(&hosts).await;
     wait_until("all workers are called", || cell.first_calls(next).len() >= WORKERS).await;
     assert_eq!(submit(&hosts[1], 8, 1).await, Answer::Accepted, "it leads all the same");
@@ -97,13 +97,13 @@
 #[tokio::test]
 async fn a_new_leader_stays_leader_while_it_calls_its_workers() {
     let (cell, hosts) = start_busy_cell(MANY_WORKERS).await;
-    cell.call_costs(Duration::from_micros(500));
+    cell.set_call_cpu_time(Duration::from_micros(500));
     let next = take_over(&hosts).await;
     let called = |count: usize| cell.first_calls(next).len() >= count;
     assert_eq!(submit(&hosts[1], 8, 1).await, Answer::Accepted);
     assert!(!called(MANY_WORKERS), "a job is taken before all workers have been called");
     wait_until("all workers are called", || called(MANY_WORKERS)).await;
-    cell.call_costs(Duration::ZERO);
+    cell.set_call_cpu_time(Duration::ZERO);
     assert_eq!(wait_for_end(&hosts[1], 8).await, Outcome::Completed);
     assert_eq!(term(&hosts[1]), next, "nobody else has led");
 }
@@ -113,8 +113,8 @@
 async fn a_slow_store_causes_no_change_of_leader() {
     let cell = new_cell();
     let hosts = start_hosts(&cell, 3).await;
-    (1..3).for_each(|number| cell.answers_take(&format!("host-{number}"), Duration::from_millis(350)));
-    cell.answers_take("host-0", Duration::from_millis(500));
+    (1..3).for_each(|number| cell.set_answer_delay(&format!("host-{number}"), Duration::from_millis(350)));
+    cell.set_answer_delay("host-0", Duration::from_millis(500));
     // Several times as long as a leader takes to yield when the store doesn't answer it.
     tokio::time::sleep(Duration::from_secs(4)).await;
     assert_eq!(term(&hosts[0]), 1);
--- a/components/fakes/src/cell.rs
+++ b/components/fakes/src/cell.rs
@@ -24,11 +24,11 @@
 
 /// How a run goes.
 #[derive(Clone, Copy, Debug)]
-pub struct Conduct {
+pub struct SimulatedRun {
     /// How long it takes.
-    pub takes: Duration,
+    pub duration: Duration,
     /// How it ends.
-    pub how: RunOutcome,
+    pub outcome: RunOutcome,
 }
 
 /// A value in the store.
@@ -83,7 +83,7 @@
     began: Instant,
     /// How long the machine of each host was suspended.
     suspensions: Mutex<BTreeMap<String, Duration>>,
-    conduct: Mutex<Conduct>,
+    conduct: Mutex<SimulatedRun>,
     range_takes: Mutex<Duration>,
     start_takes: Mutex<Duration>,
     commit_takes: Mutex<Duration>,
@@ -104,7 +104,7 @@
             changed: watch::Sender::new(0),
             began: Instant::now(),
             suspensions: Mutex::new(BTreeMap::new()),
-            conduct: Mutex::new(Conduct { takes: Duration::ZERO, how: RunOutcome::Done }),
+            conduct: Mutex::new(SimulatedRun { duration: Duration::ZERO, outcome: RunOutcome::Done }),
             range_takes: Mutex::new(Duration::ZERO),
             start_takes: Mutex::new(Duration::ZERO),
             commit_takes: Mutex::new(Duration::ZERO),
@@ -112,22 +112,22 @@
     }
 
     /// How runs go that start from now on.
-    pub fn conduct(&self, conduct: Conduct) {
+    pub fn simulate_runs(&self, conduct: SimulatedRun) {
         *self.conduct.lock() = conduct;
     }
 
     /// How long a read of a prefix takes, such as that of a long log.
-    pub fn range_takes(&self, time: Duration) {
+    pub fn set_range_delay(&self, time: Duration) {
         *self.range_takes.lock() = time;
     }
 
     /// How long a start takes until it is answered.
-    pub fn start_takes(&self, time: Duration) {
+    pub fn set_start_delay(&self, time: Duration) {
         *self.start_takes.lock() = time;
     }
 
     /// How long a transaction takes until it is answered; it is done at once.
-    pub fn commit_takes(&self, time: Duration) {
+    pub fn set_commit_delay(&self, time: Duration) {
         *self.commit_takes.lock() = time;
     }
 
@@ -137,33 +137,33 @@
     }
 
     /// Most transactions that were on their way at once.
-    pub fn most_commits_at_once(&self) -> usize {
+    pub fn max_concurrent_commits(&self) -> usize {
         self.state.lock().most_answering
     }
 
     /// Most starts that were under way to one worker at once.
-    pub fn most_starts_at_once(&self) -> usize {
+    pub fn max_concurrent_starts(&self) -> usize {
         self.state.lock().most_under_way
     }
 
     /// Adds a worker, or another life of one that keeps its name, whose birth isn't told.
     pub fn add_worker(&self, name: &str, info: WorkerInfo) {
-        self.add_life(name, info, None);
+        self.add_incarnation(name, info, None);
     }
 
     /// The same with its birth.
-    pub fn add_life(&self, name: &str, info: WorkerInfo, born: Option<u64>) {
+    pub fn add_incarnation(&self, name: &str, info: WorkerInfo, born: Option<u64>) {
         let runner = Runner { born, info: info.clone(), ..Runner::new(info.address, info.capacity) };
         self.state.lock().workers.insert(name.to_owned(), runner);
     }
 
     /// Changes a worker.
-    pub fn worker<T>(&self, id: &str, change: impl FnOnce(&mut Runner) -> T) -> Option<T> {
+    pub fn update_worker<T>(&self, id: &str, change: impl FnOnce(&mut Runner) -> T) -> Option<T> {
         self.state.lock().workers.get_mut(id).map(change)
     }
 
     /// Replaces the configuration.
-    pub fn configure(&self, config: Config) {
+    pub fn set_config(&self, config: Config) {
         let mut state = self.state.lock();
         state.config = Some(config);
         self.change(&mut state);
@@ -180,12 +180,12 @@
     }
 
     /// How long the store takes from now on to answer a host's reads of a key and renewals of leases.
-    pub fn answers_take(&self, host: &str, time: Duration) {
+    pub fn set_answer_delay(&self, host: &str, time: Duration) {
         self.state.lock().answers_take.insert(host.to_owned(), time);
     }
 
     /// The store answers this host no more, or again.
-    pub fn turn_away(&self, host: &str, away: bool) {
+    pub fn set_store_unavailable(&self, host: &str, away: bool) {
         let mut state = self.state.lock();
         if away {
             state.turned_away.insert(host.to_owned());
@@ -195,17 +195,17 @@
     }
 
     /// The next transactions are done, but their answers are lost.
-    pub fn lose_answers(&self, count: usize) {
+    pub fn lose_commit_answers(&self, count: usize) {
         self.state.lock().lost_answers = count;
     }
 
     /// The next transactions are neither done nor answered, while other calls are.
-    pub fn swallow_commits(&self, count: usize) {
+    pub fn drop_commits(&self, count: usize) {
         self.state.lock().swallowed = count;
     }
 
     /// Transactions that were given up by their sender before the time was over for which it wanted to wait.
-    pub fn abandoned(&self) -> usize {
+    pub fn abandoned_commits(&self) -> usize {
         self.state.lock().abandoned
     }
 
@@ -220,12 +220,12 @@
     }
 
     /// Starts an entry host of this cell, with a lease of 1 s, as on the platform.
-    pub async fn host(self: &Arc<Cell>, name: &str) -> std::io::Result<Arc<entry::Host>> {
-        self.host_that_waits(name, Duration::ZERO).await
+    pub async fn start_host(self: &Arc<Cell>, name: &str) -> std::io::Result<Arc<entry::Host>> {
+        self.start_host_with_claim_delay(name, Duration::ZERO).await
     }
 
     /// Starts an entry host that waits so long before it claims leadership, as weak ones do.
-    pub async fn host_that_waits(
+    pub async fn start_host_with_claim_delay(
         self: &Arc<Cell>,
         name: &str,
         claim_delay: Duration,
--- a/components/fakes/src/cell/calls.rs
+++ b/components/fakes/src/cell/calls.rs
@@ -99,17 +99,17 @@
 
 impl Cell {
     /// What a call to a worker takes of its caller's processor from now on.
-    pub fn call_costs(&self, price: Duration) {
+    pub fn set_call_cpu_time(&self, price: Duration) {
         self.state.lock().calls.price = price;
     }
 
     /// Workers wait for an end as long as they are asked to, up to this time.
-    pub fn workers_wait(&self, most: Duration) {
+    pub fn set_max_worker_wait(&self, most: Duration) {
         self.state.lock().calls.most_wait = most;
     }
 
     /// How long a worker that is called for the first time takes to answer from now on.
-    pub fn first_call_takes(&self, time: Duration) {
+    pub fn set_first_call_delay(&self, time: Duration) {
         self.state.lock().calls.first_takes = time;
     }
 
@@ -119,7 +119,7 @@
     }
 
     /// The most first calls that were under way at once.
-    pub fn most_first_calls_at_once(&self) -> usize {
+    pub fn max_concurrent_first_calls(&self) -> usize {
         self.state.lock().calls.most_under_way
     }
 
--- a/components/fakes/src/cell/suspension.rs
+++ b/components/fakes/src/cell/suspension.rs
@@ -6,7 +6,7 @@
 
 impl Cell {
     /// The machine of a host was suspended for so long just now: its steady clock and its timers have stood still.
-    pub fn suspended(&self, host: &str, time: Duration) {
+    pub fn suspend_host(&self, host: &str, time: Duration) {
         *self.suspensions.lock().entry(host.to_owned()).or_default() += time;
     }
 
--- a/components/fakes/src/cell/tampering.rs
+++ b/components/fakes/src/cell/tampering.rs
@@ -4,14 +4,14 @@
 
 impl Cell {
     /// Removes a key without a sign to its owner.
-    pub fn revoke(&self, key: &str) {
+    pub fn delete_key(&self, key: &str) {
         let mut state = self.state.lock();
         state.items.remove(key);
         self.change(&mut state);
     }
 
     /// Changes all values below a prefix, as another version of the program would have written them.
-    pub fn rewrite(&self, prefix: &str, change: impl Fn(&mut Vec<u8>)) {
+    pub fn rewrite_values(&self, prefix: &str, change: impl Fn(&mut Vec<u8>)) {
         let mut state = self.state.lock();
         state.items.iter_mut().filter(|(key, _)| key.starts_with(prefix)).for_each(|(_, kept)| change(&mut kept.value));
     }
@@ -24,7 +24,7 @@
     }
 
     /// Whoever reads the list of workers next panics.
-    pub fn break_list(&self) {
+    pub fn panic_on_next_worker_list(&self) {
         self.state.lock().broken_list = true;
     }
 }
--- a/components/fakes/src/cell/workers.rs
+++ b/components/fakes/src/cell/workers.rs
@@ -38,7 +38,7 @@
             let mut state = self.cell.state.lock();
             let runner = state.workers.get_mut(WorkerIncarnation::from_id(&target.id).name)?;
             runner.tick(now);
-            Some(runner.numbers)
+            Some(runner.last_end_number)
         };
         let before = ends();
         while Instant::now() < until && ends() == before {
@@ -71,7 +71,7 @@
         self.wait_for_end(target, renewal.wait).await;
         let held = self.at(target, |runner, now| {
             let born = runner.born;
-            runner.hold(renewal.term, renewal.until, renewal.acked).map(|(running, ended)| WorkerStatus {
+            runner.renew(renewal.term, renewal.until, renewal.acked).map(|(running, ended)| WorkerStatus {
                 clock: now,
                 born,
                 running,
@@ -93,7 +93,7 @@
         let conduct = *self.cell.conduct.lock();
         let step = &start.job.steps[usize::from(start.task.unit.step)];
         let outcome = self.at(target, |runner, now| {
-            let run = Run { need: step.need, ends: now + conduct.takes, how: conduct.how };
+            let run = Run { need: step.need, ends_at: now + conduct.duration, outcome: conduct.outcome };
             runner.start(now, *term, *until, (start.task, start.attempt), run)
         })?;
         if matches!(outcome, Reply::Done(runner::Reply::Done)) {
--- a/components/fakes/src/lib.rs
+++ b/components/fakes/src/lib.rs
@@ -11,8 +11,8 @@
 mod worker;
 
 pub use crate::backend::{Backend, Record};
-pub use crate::platform::{Control, Counts, Door, Platform};
-pub use crate::worker::{Conduct, Worker};
+pub use crate::platform::{Control, Counts, Endpoint, Platform};
+pub use crate::worker::{Worker, WorkerFault};
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::atomic::{AtomicU32, Ordering};
--- a/components/fakes/src/platform.rs
+++ b/components/fakes/src/platform.rs
@@ -84,15 +84,15 @@
 }
 
 /// Another address of a platform.
-pub struct Door {
+pub struct Endpoint {
     /// Where it listens.
     pub address: SocketAddr,
     cut: Arc<AtomicBool>,
 }
 
-impl Door {
+impl Endpoint {
     /// Cuts it off, also the watches that go through it, or opens it again.
-    pub fn cut(&self, cut: bool) {
+    pub fn set_cut_off(&self, cut: bool) {
         self.cut.store(cut, Ordering::Relaxed);
     }
 }
@@ -128,7 +128,7 @@
     }
 
     /// Opens another address that leads to the same store, and that can be cut off on its own.
-    pub async fn door(&self) -> std::io::Result<Door> {
+    pub async fn add_endpoint(&self) -> std::io::Result<Endpoint> {
         let (listener, address) = crate::listen(crate::any_port()).await?;
         let cut = Arc::new(AtomicBool::new(false));
         let (shared, closed) = (self.shared.clone(), cut.clone());
@@ -142,7 +142,7 @@
             }
         };
         tokio::spawn(web::serve(listener, 4096, pending(), Duration::ZERO, handler));
-        Ok(Door { address, cut })
+        Ok(Endpoint { address, cut })
     }
 
     /// Changes what it does wrong.
@@ -151,12 +151,12 @@
     }
 
     /// Adds a host to the list, or replaces it.
-    pub fn list(&self, host: Host) {
+    pub fn add_host(&self, host: Host) {
         add_to_list(&self.shared, host);
     }
 
     /// Takes a host off the list.
-    pub fn unlist(&self, name: &str) {
+    pub fn remove_host(&self, name: &str) {
         let mut state = self.shared.state.lock();
         state.list.hosts.retain(|known| known.name != name);
         state.list.version += 1;
--- a/components/fakes/src/runner.rs
+++ b/components/fakes/src/runner.rs
@@ -25,9 +25,9 @@
     /// The room that it takes.
     pub need: Resources,
     /// When it ends.
-    pub ends: Duration,
+    pub ends_at: Duration,
     /// How it ends.
-    pub how: RunOutcome,
+    pub outcome: RunOutcome,
 }
 
 /// One life of a worker.
@@ -40,15 +40,15 @@
     /// Whether orders and renewals reach it.
     pub reachable: bool,
     /// Highest term seen.
-    pub fence: Term,
+    pub highest_term: Term,
     /// End of all leases.
-    pub lease: Duration,
+    pub lease_until: Duration,
     /// What runs.
     pub runs: BTreeMap<(Task, Attempt), Run>,
     /// Ends that aren't acknowledged.
     pub ended: Vec<End>,
     /// Number of the last end.
-    pub numbers: u64,
+    pub last_end_number: u64,
     /// Highest run of each task that was stopped or has ended here.
     pub settled: BTreeMap<Task, Attempt>,
 }
@@ -69,20 +69,20 @@
             info,
             born: None,
             reachable: true,
-            fence: 0,
-            lease: Duration::ZERO,
+            highest_term: 0,
+            lease_until: Duration::ZERO,
             runs: BTreeMap::new(),
             ended: Vec::new(),
-            numbers: 0,
+            last_end_number: 0,
             settled: BTreeMap::new(),
         }
     }
 
     fn admit(&mut self, term: Term) -> bool {
-        if term < self.fence {
+        if term < self.highest_term {
             return false;
         }
-        self.fence = term;
+        self.highest_term = term;
         true
     }
 
@@ -91,7 +91,7 @@
         if !self.admit(term) {
             return Reply::Fenced;
         }
-        self.lease = self.lease.max(until);
+        self.lease_until = self.lease_until.max(until);
         let old = self.settled.get(&key.0).is_some_and(|attempt| key.1 <= *attempt);
         if until < now || (old && !self.runs.contains_key(&key)) {
             return Reply::Refused;
@@ -114,11 +114,16 @@
     }
 
     /// Renews all leases and acknowledges ends.
-    pub fn hold(&mut self, term: Term, until: Option<Duration>, acked: u64) -> Result<(Vec<Running>, Vec<End>), Reply> {
+    pub fn renew(
+        &mut self,
+        term: Term,
+        until: Option<Duration>,
+        acked: u64,
+    ) -> Result<(Vec<Running>, Vec<End>), Reply> {
         if !self.admit(term) {
             return Err(Reply::Fenced);
         }
-        self.lease = self.lease.max(until.unwrap_or_default());
+        self.lease_until = self.lease_until.max(until.unwrap_or_default());
         self.ended.retain(|end| end.number > acked);
         let running = self.runs.keys().map(|(task, attempt)| Running {
             task: *task,
@@ -130,20 +135,20 @@
     }
 
     fn end(&mut self, task: Task, attempt: Attempt, how: RunOutcome) {
-        self.numbers += 1;
+        self.last_end_number += 1;
         let settled = self.settled.entry(task).or_default();
         *settled = attempt.max(*settled);
-        self.ended.push(End { number: self.numbers, task, attempt, outcome: how, checkpoint: String::new() });
+        self.ended.push(End { number: self.last_end_number, task, attempt, outcome: how, checkpoint: String::new() });
     }
 
     /// Ends what is due, and everything once the lease is over.
     pub fn tick(&mut self, now: Duration) -> Vec<(Task, Attempt, RunOutcome)> {
-        let lapsed = now > self.lease;
+        let lapsed = now > self.lease_until;
         let due: Vec<_> = self
             .runs
             .iter()
-            .filter(|(_, run)| lapsed || run.ends <= now)
-            .map(|(key, run)| (key.0, key.1, if run.ends <= now { run.how } else { RunOutcome::Lapsed }))
+            .filter(|(_, run)| lapsed || run.ends_at <= now)
+            .map(|(key, run)| (key.0, key.1, if run.ends_at <= now { run.outcome } else { RunOutcome::Lapsed }))
             .collect();
         for (task, attempt, how) in &due {
             self.runs.remove(&(*task, *attempt));
@@ -153,7 +158,7 @@
     }
 
     /// What its runs take.
-    pub fn load(&self) -> Resources {
+    pub fn used_resources(&self) -> Resources {
         self.runs.values().fold(Resources::ZERO, |sum, run| sum.checked_add(&run.need).expect("no overflow"))
     }
 }
--- a/components/fakes/src/worker.rs
+++ b/components/fakes/src/worker.rs
@@ -22,14 +22,14 @@
 
 /// What the worker is told to do wrong.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Conduct {
+pub enum WorkerFault {
     /// Nothing.
     #[default]
-    Good,
+    None,
     /// Every task fails at once.
-    FailsEverything,
+    FailAllTasks,
     /// Requests are not answered.
-    Silent,
+    Unresponsive,
 }
 
 struct Running {
@@ -49,7 +49,7 @@
     sequence: u64,
     holder: HostId,
     leaving: bool,
-    conduct: Conduct,
+    conduct: WorkerFault,
     tasks: BTreeMap<(Id, Attempt), Running>,
     /// Every attempt that was ever started here, in order.
     starts: Vec<(Id, Attempt)>,
@@ -76,7 +76,7 @@
             sequence: 0,
             holder: String::new(),
             leaving: false,
-            conduct: Conduct::Good,
+            conduct: WorkerFault::None,
             tasks: BTreeMap::new(),
             starts: Vec::new(),
             peak: Resources::ZERO,
@@ -95,7 +95,7 @@
     }
 
     /// Changes what it does wrong.
-    pub fn conduct(&self, conduct: Conduct) {
+    pub fn set_fault(&self, conduct: WorkerFault) {
         self.state.lock().conduct = conduct;
     }
 
@@ -187,7 +187,7 @@
 }
 
 async fn answer(state: Arc<Mutex<State>>, request: Request<Incoming>) -> Response<Body> {
-    if state.lock().conduct == Conduct::Silent {
+    if state.lock().conduct == WorkerFault::Unresponsive {
         pending::<()>().await;
     }
     let path = request.uri().path().to_owned();
@@ -334,9 +334,9 @@
     AttemptReport { unsaved_ms: running.saved_at.elapsed().as_millis() as u64, ..running.task.clone() }
 }
 
-fn failure_of(conduct: Conduct, run: &str) -> Option<End> {
+fn failure_of(conduct: WorkerFault, run: &str) -> Option<End> {
     let message = match (conduct, run.split_whitespace().next()) {
-        (Conduct::FailsEverything, _) => "the worker's disk is full",
+        (WorkerFault::FailAllTasks, _) => "the worker's disk is full",
         (_, Some("fail")) => "exit status 1",
         _ => return None,
     };
--- a/components/sched/tests/world/checks.rs
+++ b/components/sched/tests/world/checks.rs
@@ -38,7 +38,11 @@
     pub(super) fn check(&self) {
         let mut running: BTreeMap<Task, &str> = BTreeMap::new();
         for (id, worker) in &self.workers {
-            assert!(worker.load().fits_in(&worker.info.capacity), "{id} is overcommitted: {:?}", worker.load());
+            assert!(
+                worker.used_resources().fits_in(&worker.info.capacity),
+                "{id} is overcommitted: {:?}",
+                worker.used_resources()
+            );
             for (task, _) in worker.runs.keys() {
                 if let Some(other) = running.insert(*task, id) {
                     panic!("{task} runs on {other} and on {id} at {:?}", self.now);
--- a/components/sched/tests/world/mod.rs
+++ b/components/sched/tests/world/mod.rs
@@ -354,7 +354,7 @@
                 true => (0, until.map(|until| until.min(self.now + MAX_LEASE))),
                 false => (acked, until),
             };
-            match worker.hold(leader.term, until, acked) {
+            match worker.renew(leader.term, until, acked) {
                 Ok(_) if other.is_some() => leader.engine.worker_replaced(clock, &id, other),
                 Ok((running, ended)) => {
                     lease.observe_clock(self.now, self.now, MAX_LEASE);
@@ -420,7 +420,7 @@
         let step = &job.steps[usize::from(start.task.unit.step)];
         let ends = self.now + Duration::from_millis(self.rng.random_range(100..3000));
         let how = if self.rng.random_bool(0.1) { RunOutcome::Failed } else { RunOutcome::Done };
-        let run = Run { need: step.need, ends, how };
+        let run = Run { need: step.need, ends_at: ends, outcome: how };
         let key = (start.task, start.attempt);
         let Some(life) = self.reached(id) else { return Reply::Refused };
         let Some(worker) = self.workers.get_mut(&life) else { return Reply::Refused };
