--- a/components/fakes/src/backend.rs
+++ b/components/fakes/src/backend.rs
@@ -1,4 +1,4 @@
-//! A stand-in backend server: one instance of a service. It records which requests it ran, by their key.
+//! A fake backend server: one instance of a service. It counts the requests that it ran by their idempotency key.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,29 +13,29 @@
 use tokio::sync::{Semaphore, watch};
 use web::Body;
 
-const MAX_BODY: usize = 64 * 1024 * 1024;
-const SLOTS: usize = 8;
+const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
+const MAX_CONCURRENT: usize = 8;
 
-/// What an instance has run.
+/// Counts of the requests that an instance ran.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Record {
-    /// Runs by idempotency key.
+    /// Number of runs by idempotency key.
     pub by_key: BTreeMap<String, u32>,
-    /// All requests.
+    /// Number of all requests.
     pub total: u64,
-    /// Most requests that ran at once.
+    /// Highest number of requests in progress at the same time, those that wait for a slot included.
     pub peak: usize,
 }
 
 struct Shared {
     record: Mutex<Record>,
     running: AtomicUsize,
-    /// Only so many requests are worked on at once; others wait.
+    /// Limits the requests that are worked on at the same time. Others wait.
     slots: Semaphore,
-    work: Duration,
+    work_time: Duration,
 }
 
-/// A running stand-in backend server.
+/// A running fake backend server.
 #[derive(Clone)]
 pub struct Backend {
     shared: Arc<Shared>,
@@ -44,57 +44,61 @@
 }
 
 impl Backend {
-    /// Starts an instance whose answers take `work`, unless a request says otherwise in `x-work`.
-    pub async fn start(address: SocketAddr, work: Duration) -> std::io::Result<Backend> {
+    /// Starts an instance that works on each request for `work_time`, unless the `x-work` header of the request gives
+    /// another duration.
+    ///
+    /// # Errors
+    /// If it can't listen on `address`.
+    pub async fn start(address: SocketAddr, work_time: Duration) -> std::io::Result<Backend> {
         let (listener, address) = crate::listen(address).await?;
         let shared = Arc::new(Shared {
             record: Mutex::default(),
             running: AtomicUsize::new(0),
-            slots: Semaphore::new(SLOTS),
-            work,
+            slots: Semaphore::new(MAX_CONCURRENT),
+            work_time,
         });
         let (stop, mut stopped) = watch::channel(false);
         let served = shared.clone();
         let handler = move |request, _| answer(served.clone(), address, request);
-        let until = async move {
+        let shutdown = async move {
             let _ = stopped.wait_for(|stop| *stop).await;
         };
-        tokio::spawn(web::serve(listener, 1024, until, Duration::from_secs(10), handler));
+        tokio::spawn(web::serve(listener, 1024, shutdown, Duration::from_secs(10), handler));
         Ok(Backend { shared, address, stop })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Accepts no more connections; requests in flight finish.
+    /// Stops accepting connections. Requests in flight are finished.
     pub fn stop(&self) {
         self.stop.send_replace(true);
     }
 
-    /// Most requests that ran at once since this was last asked.
+    /// Returns the highest number of requests in progress at the same time since the last call, and resets it.
     pub fn take_peak(&self) -> usize {
         std::mem::take(&mut self.shared.record.lock().peak)
     }
 
-    /// What it has run.
+    /// The requests that it has run.
     pub fn record(&self) -> Record {
         self.shared.record.lock().clone()
     }
 }
 
-/// A request that the instance works on; also one that is given up half-way ends.
-struct Present<'a>(&'a Shared);
+/// Counts a request as in progress until it is dropped, so that a request whose client disconnects is counted out, too.
+struct ActiveRequest<'a>(&'a Shared);
 
-impl<'a> Present<'a> {
-    fn new(shared: &'a Shared) -> Present<'a> {
+impl<'a> ActiveRequest<'a> {
+    fn new(shared: &'a Shared) -> ActiveRequest<'a> {
         shared.running.fetch_add(1, Ordering::SeqCst);
-        Present(shared)
+        ActiveRequest(shared)
     }
 }
 
-impl Drop for Present<'_> {
+impl Drop for ActiveRequest<'_> {
     fn drop(&mut self) {
         self.0.running.fetch_sub(1, Ordering::SeqCst);
     }
@@ -103,8 +107,8 @@
 async fn answer(shared: Arc<Shared>, address: SocketAddr, request: Request<Incoming>) -> Response<Body> {
     let header = |name: &str| request.headers().get(name).and_then(|value| value.to_str().ok()).map(str::to_owned);
     let key = header("idempotency-key");
-    let work = header("x-work").and_then(|text| humantime::parse_duration(&text).ok()).unwrap_or(shared.work);
-    let present = Present::new(&shared);
+    let work_time = header("x-work").and_then(|text| humantime::parse_duration(&text).ok()).unwrap_or(shared.work_time);
+    let active = ActiveRequest::new(&shared);
     let running = shared.running.load(Ordering::SeqCst);
     {
         let mut record = shared.record.lock();
@@ -115,12 +119,12 @@
         }
     }
     let path = request.uri().path().to_owned();
-    let body = web::read_limited(request.into_body(), MAX_BODY).await.unwrap_or_default();
-    if !work.is_zero() {
+    let body = web::read_limited(request.into_body(), MAX_BODY_BYTES).await.unwrap_or_default();
+    if !work_time.is_zero() {
         let _slot = shared.slots.acquire().await;
-        tokio::time::sleep(work).await;
+        tokio::time::sleep(work_time).await;
     }
-    drop(present);
+    drop(active);
     let text = String::from_utf8_lossy(&body).into_owned();
     web::json(StatusCode::OK, &serde_json::json!({ "instance": address, "path": path, "key": key, "body": text }))
 }
--- a/components/fakes/src/cell.rs
+++ b/components/fakes/src/cell.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the outside of entry hosts, in memory: a store with leases, workers, an adviser. The store can turn
-//! single hosts away, lose answers and carry transactions out late.
+//! In-memory fakes of the services that entry hosts depend on: a store with leases, workers and an adviser. Faults
+//! can be injected: the store can be unavailable to single hosts, answer late, lose answers and drop transactions.
 
 mod calls;
 mod suspension;
@@ -20,211 +20,217 @@
 use work::{Attempt, Config, Task, Unit, WorkerId, WorkerIncarnation};
 
 use crate::runner::Runner;
-use calls::{Answering, Calls, Waiting};
+use calls::{Calls, CommitInProgress, UnansweredCommit};
 
-/// How a run goes.
+/// Duration and outcome of the runs that fake workers simulate.
 #[derive(Clone, Copy, Debug)]
 pub struct SimulatedRun {
-    /// How long it takes.
     pub duration: Duration,
-    /// How it ends.
     pub outcome: RunOutcome,
 }
 
-/// A value in the store.
-struct Kept {
+/// A value in the store, with the revision that last wrote it.
+struct StoredValue {
     value: Vec<u8>,
     revision: u64,
-    /// 0 for none.
+    /// 0 if no lease is attached.
     lease: LeaseId,
 }
 
 struct Lease {
-    ends: Instant,
+    ends_at: Instant,
     ttl: Duration,
 }
 
 #[derive(Default)]
 struct State {
     revision: u64,
-    items: BTreeMap<String, Kept>,
+    items: BTreeMap<String, StoredValue>,
     leases: BTreeMap<LeaseId, Lease>,
     next_lease: LeaseId,
-    turned_away: BTreeSet<String>,
-    lost_answers: usize,
-    swallowed: usize,
-    broken_list: bool,
-    abandoned: usize,
-    /// Starts under way, by worker.
-    under_way: BTreeMap<WorkerId, usize>,
-    most_under_way: usize,
+    unavailable_hosts: BTreeSet<String>,
+    answers_to_lose: usize,
+    commits_to_drop: usize,
+    panic_on_worker_list: bool,
+    abandoned_commits: usize,
+    /// Start orders in progress, by worker.
+    starts_in_progress: BTreeMap<WorkerId, usize>,
+    max_concurrent_starts: usize,
     commits: usize,
     commits_sent: usize,
-    /// Transactions whose answers are on their way, and the most that there were.
-    answering: usize,
-    most_answering: usize,
+    /// Transactions that have not been answered yet.
+    commits_in_progress: usize,
+    /// The highest value that `commits_in_progress` has had.
+    max_concurrent_commits: usize,
     config: Option<Config>,
-    /// How often the configuration was read, or waited for.
+    /// Reads and watches of the configuration.
     config_calls: usize,
-    /// Calls of each host to the store; one that waits counts while it does.
+    /// Calls of each host to the store. A watch adds a call each time it checks for a change.
     store_calls: BTreeMap<String, usize>,
-    /// How long the store takes to answer a host's reads and renewals.
-    answers_take: BTreeMap<String, Duration>,
-    /// By name.
+    /// Delay of the store's answers to a host's reads of single keys and lease renewals.
+    answer_delays: BTreeMap<String, Duration>,
+    /// Workers by name.
     workers: BTreeMap<String, Runner>,
     starts: Vec<(WorkerId, Task, Attempt)>,
     calls: Calls,
 }
 
-/// The outside of all hosts of a test.
+/// The fake services shared by all hosts of a test.
 pub struct Cell {
     state: Mutex<State>,
     changed: watch::Sender<u64>,
-    began: Instant,
-    /// How long the machine of each host was suspended.
+    started_at: Instant,
+    /// Total time for which the machine of each host was suspended.
     suspensions: Mutex<BTreeMap<String, Duration>>,
-    conduct: Mutex<SimulatedRun>,
-    range_takes: Mutex<Duration>,
-    start_takes: Mutex<Duration>,
-    commit_takes: Mutex<Duration>,
+    simulated_run: Mutex<SimulatedRun>,
+    range_delay: Mutex<Duration>,
+    start_delay: Mutex<Duration>,
+    commit_delay: Mutex<Duration>,
 }
 
-/// The outside as one host sees it.
-struct View {
+/// One host's connection to the fake services.
+struct HostView {
     cell: Arc<Cell>,
     host: String,
 }
 
 impl Cell {
-    /// A cell without workers, whose runs take no time and succeed.
+    /// Creates a cell without workers. Runs succeed at once.
     pub fn new(config: Config) -> Arc<Cell> {
         let state = State { config: Some(config), ..State::default() };
         Arc::new(Cell {
             state: Mutex::new(state),
             changed: watch::Sender::new(0),
-            began: Instant::now(),
+            started_at: Instant::now(),
             suspensions: Mutex::new(BTreeMap::new()),
-            conduct: Mutex::new(SimulatedRun { duration: Duration::ZERO, outcome: RunOutcome::Done }),
-            range_takes: Mutex::new(Duration::ZERO),
-            start_takes: Mutex::new(Duration::ZERO),
-            commit_takes: Mutex::new(Duration::ZERO),
+            simulated_run: Mutex::new(SimulatedRun { duration: Duration::ZERO, outcome: RunOutcome::Done }),
+            range_delay: Mutex::new(Duration::ZERO),
+            start_delay: Mutex::new(Duration::ZERO),
+            commit_delay: Mutex::new(Duration::ZERO),
         })
     }
 
-    /// How runs go that start from now on.
-    pub fn simulate_runs(&self, conduct: SimulatedRun) {
-        *self.conduct.lock() = conduct;
+    /// Sets the duration and outcome of runs that start from now on.
+    pub fn simulate_runs(&self, run: SimulatedRun) {
+        *self.simulated_run.lock() = run;
     }
 
-    /// How long a read of a prefix takes, such as that of a long log.
-    pub fn set_range_delay(&self, time: Duration) {
-        *self.range_takes.lock() = time;
+    /// Sets the delay of reads by prefix. A long one simulates the read of a long log.
+    pub fn set_range_delay(&self, delay: Duration) {
+        *self.range_delay.lock() = delay;
     }
 
-    /// How long a start takes until it is answered.
-    pub fn set_start_delay(&self, time: Duration) {
-        *self.start_takes.lock() = time;
+    /// Sets how long a start order takes to reach its worker.
+    pub fn set_start_delay(&self, delay: Duration) {
+        *self.start_delay.lock() = delay;
     }
 
-    /// How long a transaction takes until it is answered; it is done at once.
-    pub fn set_commit_delay(&self, time: Duration) {
-        *self.commit_takes.lock() = time;
+    /// Sets the delay of answers to transactions, which still take effect at once.
+    pub fn set_commit_delay(&self, delay: Duration) {
+        *self.commit_delay.lock() = delay;
     }
 
-    /// Transactions that were sent.
+    /// Number of transactions that reached the store, whether they were applied or rejected.
     pub fn commits_sent(&self) -> usize {
         self.state.lock().commits_sent
     }
 
-    /// Most transactions that were on their way at once.
+    /// Highest number of transactions that awaited an answer at the same time.
     pub fn max_concurrent_commits(&self) -> usize {
-        self.state.lock().most_answering
+        self.state.lock().max_concurrent_commits
     }
 
-    /// Most starts that were under way to one worker at once.
+    /// Highest number of start orders that were in progress to one worker at the same time.
     pub fn max_concurrent_starts(&self) -> usize {
-        self.state.lock().most_under_way
+        self.state.lock().max_concurrent_starts
     }
 
-    /// Adds a worker, or another life of one that keeps its name, whose birth isn't told.
+    /// Adds a worker, or replaces the incarnation of one with the same name. The directory does not report its start
+    /// time.
     pub fn add_worker(&self, name: &str, info: WorkerInfo) {
         self.add_incarnation(name, info, None);
     }
 
-    /// The same with its birth.
+    /// Like `add_worker`, with the start time that the directory reports, in milliseconds since 1970.
     pub fn add_incarnation(&self, name: &str, info: WorkerInfo, born: Option<u64>) {
         let runner = Runner { born, info: info.clone(), ..Runner::new(info.address, info.capacity) };
         self.state.lock().workers.insert(name.to_owned(), runner);
     }
 
-    /// Changes a worker.
+    /// Calls `change` on a worker. Returns `None` if there is no worker of this name.
     pub fn update_worker<T>(&self, id: &str, change: impl FnOnce(&mut Runner) -> T) -> Option<T> {
         self.state.lock().workers.get_mut(id).map(change)
     }
 
-    /// Replaces the configuration.
+    /// Replaces the configuration and wakes watches.
     pub fn set_config(&self, config: Config) {
         let mut state = self.state.lock();
         state.config = Some(config);
-        self.change(&mut state);
+        self.record_change(&mut state);
     }
 
-    /// How often the configuration was read, or waited for.
+    /// Number of reads and watches of the configuration.
     pub fn config_calls(&self) -> usize {
         self.state.lock().config_calls
     }
 
-    /// Calls of a host to the store. One that waits goes on being counted.
+    /// Number of calls of a host to the store. A watch adds a call each time it checks for a change.
     pub fn store_calls(&self, host: &str) -> usize {
         self.state.lock().store_calls.get(host).copied().unwrap_or_default()
     }
 
-    /// How long the store takes from now on to answer a host's reads of a key and renewals of leases.
-    pub fn set_answer_delay(&self, host: &str, time: Duration) {
-        self.state.lock().answers_take.insert(host.to_owned(), time);
+    /// Sets the delay of the store's answers to a host's reads of single keys and lease renewals.
+    pub fn set_answer_delay(&self, host: &str, delay: Duration) {
+        self.state.lock().answer_delays.insert(host.to_owned(), delay);
     }
 
-    /// The store answers this host no more, or again.
+    /// Makes the store fail all calls of a host, or ends this.
     pub fn set_store_unavailable(&self, host: &str, away: bool) {
         let mut state = self.state.lock();
         if away {
-            state.turned_away.insert(host.to_owned());
+            state.unavailable_hosts.insert(host.to_owned());
         } else {
-            state.turned_away.remove(host);
+            state.unavailable_hosts.remove(host);
         }
     }
 
-    /// The next transactions are done, but their answers are lost.
+    /// Applies the next `count` transactions but loses their answers.
     pub fn lose_commit_answers(&self, count: usize) {
-        self.state.lock().lost_answers = count;
+        self.state.lock().answers_to_lose = count;
     }
 
-    /// The next transactions are neither done nor answered, while other calls are.
+    /// Neither applies nor answers the next `count` transactions. Other calls are answered.
     pub fn drop_commits(&self, count: usize) {
-        self.state.lock().swallowed = count;
+        self.state.lock().commits_to_drop = count;
     }
 
-    /// Transactions that were given up by their sender before the time was over for which it wanted to wait.
+    /// Number of dropped transactions whose sender stopped waiting before its own timeout.
     pub fn abandoned_commits(&self) -> usize {
-        self.state.lock().abandoned
+        self.state.lock().abandoned_commits
     }
 
-    /// Transactions that were done.
+    /// Number of transactions that were applied.
     pub fn commits(&self) -> usize {
         self.state.lock().commits
     }
 
-    /// Runs that began, in their order.
+    /// Runs in the order of their start.
     pub fn starts(&self) -> Vec<(WorkerId, Task, Attempt)> {
         self.state.lock().starts.clone()
     }
 
-    /// Starts an entry host of this cell, with a lease of 1 s, as on the platform.
+    /// Starts an entry host of this cell. Its lease lasts 1 s, as on the platform.
+    ///
+    /// # Errors
+    /// If no port can be opened.
     pub async fn start_host(self: &Arc<Cell>, name: &str) -> std::io::Result<Arc<entry::Host>> {
         self.start_host_with_claim_delay(name, Duration::ZERO).await
     }
 
-    /// Starts an entry host that waits so long before it claims leadership, as weak ones do.
+    /// Starts an entry host that waits for `claim_delay` before it claims leadership, as weak hosts do.
+    ///
+    /// # Errors
+    /// If no port can be opened.
     pub async fn start_host_with_claim_delay(
         self: &Arc<Cell>,
         name: &str,
@@ -233,55 +239,56 @@
         let listener = TcpListener::bind(crate::any_port()).await?;
         let settings = Settings {
             host: name.to_owned(),
-            incarnation: self.began.elapsed().as_nanos() as u64,
+            incarnation: self.started_at.elapsed().as_nanos() as u64,
             address: listener.local_addr()?.to_string(),
             limits: Limits::example(),
             lease_ttl: Duration::from_millis(1000),
             claim_delay,
         };
-        let view = Arc::new(View { cell: self.clone(), host: name.to_owned() });
-        let (cell, of) = (self.clone(), name.to_owned());
+        let host_view = Arc::new(HostView { cell: self.clone(), host: name.to_owned() });
+        let (cell, host_name) = (self.clone(), name.to_owned());
         let services = Services {
-            store: view.clone(),
-            directory: view.clone(),
-            workers: view.clone(),
-            adviser: Some(view.clone()),
-            clock: clock::Clock::new(move || cell.host_time(&of)),
+            store: host_view.clone(),
+            directory: host_view.clone(),
+            workers: host_view.clone(),
+            adviser: Some(host_view.clone()),
+            clock: clock::Clock::new(move || cell.host_time(&host_name)),
         };
         let host = entry::Host::new(settings, services, events::silent(), metrics::Jobs::default());
         entry::spawn(&host, listener);
         Ok(host)
     }
 
-    /// Counts a change, and wakes those who wait for one.
-    fn change(&self, state: &mut State) {
+    /// Increments the revision and wakes watches.
+    fn record_change(&self, state: &mut State) {
         state.revision += 1;
         self.changed.send_replace(state.revision);
     }
 
     fn now(&self) -> Duration {
-        self.began.elapsed()
+        self.started_at.elapsed()
     }
 
-    fn expire(&self, state: &mut State) {
+    fn expire_leases(&self, state: &mut State) {
         let now = Instant::now();
-        let over: Vec<LeaseId> = state.leases.iter().filter(|(_, lease)| lease.ends < now).map(|(id, _)| *id).collect();
-        over.into_iter().for_each(|lease| self.drop_lease(state, lease));
+        let expired: Vec<LeaseId> =
+            state.leases.iter().filter(|(_, lease)| lease.ends_at < now).map(|(id, _)| *id).collect();
+        expired.into_iter().for_each(|lease| self.drop_lease(state, lease));
     }
 
     fn drop_lease(&self, state: &mut State, lease: LeaseId) {
         state.leases.remove(&lease);
         let before = state.items.len();
-        state.items.retain(|_, kept| kept.lease != lease);
+        state.items.retain(|_, stored| stored.lease != lease);
         if state.items.len() != before {
-            self.change(state);
+            self.record_change(state);
         }
     }
 
-    fn carry_out(&self, state: &mut State, transaction: &Transaction) -> CommitOutcome {
-        let present = |key: &String| state.items.get(key).map_or(0, |kept| kept.revision);
-        if transaction.expected.iter().any(|(key, revision)| present(key) != *revision) {
-            let items = transaction.expected.iter().filter_map(|(key, _)| item(state, key));
+    fn apply(&self, state: &mut State, transaction: &Transaction) -> CommitOutcome {
+        let current = |key: &String| state.items.get(key).map_or(0, |stored| stored.revision);
+        if transaction.expected.iter().any(|(key, revision)| current(key) != *revision) {
+            let items = transaction.expected.iter().filter_map(|(key, _)| key_value(state, key));
             return CommitOutcome::Conflict(items.collect());
         }
         if transaction.puts.iter().any(|put| put.lease != 0 && !state.leases.contains_key(&put.lease)) {
@@ -291,7 +298,7 @@
         state.commits += 1;
         let revision = state.revision;
         for put in &transaction.puts {
-            state.items.insert(put.key.clone(), Kept { value: put.value.clone(), revision, lease: put.lease });
+            state.items.insert(put.key.clone(), StoredValue { value: put.value.clone(), revision, lease: put.lease });
         }
         transaction.removes.iter().for_each(|key| {
             state.items.remove(key);
@@ -301,34 +308,34 @@
     }
 }
 
-fn item(state: &State, key: &str) -> Option<KeyValue> {
-    let kept = state.items.get(key)?;
-    Some(KeyValue { key: key.to_owned(), value: kept.value.clone(), revision: kept.revision })
+fn key_value(state: &State, key: &str) -> Option<KeyValue> {
+    let stored = state.items.get(key)?;
+    Some(KeyValue { key: key.to_owned(), value: stored.value.clone(), revision: stored.revision })
 }
 
-impl View {
-    fn store<T>(&self, call: impl FnOnce(&mut State) -> T) -> Result<T, ServiceError> {
+impl HostView {
+    fn with_store<T>(&self, call: impl FnOnce(&mut State) -> T) -> Result<T, ServiceError> {
         let mut state = self.cell.state.lock();
         *state.store_calls.entry(self.host.clone()).or_default() += 1;
-        if state.turned_away.contains(&self.host) {
-            return Err(ServiceError::NotDone("turned away".to_owned()));
+        if state.unavailable_hosts.contains(&self.host) {
+            return Err(ServiceError::NotDone("the store is unavailable to this host".to_owned()));
         }
-        self.cell.expire(&mut state);
+        self.cell.expire_leases(&mut state);
         Ok(call(&mut state))
     }
 
-    /// An answer is on its way, as long as answers to this host take.
-    async fn answer(&self) {
-        let takes = self.cell.state.lock().answers_take.get(&self.host).copied().unwrap_or_default();
-        tokio::time::sleep(takes).await;
+    /// Waits for this host's answer delay.
+    async fn delay_answer(&self) {
+        let delay = self.cell.state.lock().answer_delays.get(&self.host).copied().unwrap_or_default();
+        tokio::time::sleep(delay).await;
     }
 
-    async fn wait(&self, revision: u64, wait: Duration) -> Result<WatchResult, ServiceError> {
+    async fn wait_for_change(&self, revision: u64, wait: Duration) -> Result<WatchResult, ServiceError> {
         let mut changed = self.cell.changed.subscribe();
-        // Leases run out without a call: the wait looks for that, too.
+        // No call reports that a lease has expired, so the revision is also checked at intervals.
         let until = Instant::now() + wait;
         while Instant::now() < until {
-            let now = self.store(|state| state.revision)?;
+            let now = self.with_store(|state| state.revision)?;
             if now > revision {
                 return Ok(WatchResult::Changed);
             }
@@ -338,111 +345,111 @@
     }
 }
 
-impl View {
-    /// Whether the next transaction is swallowed.
-    fn swallows(&self) -> bool {
+impl HostView {
+    /// Whether the next transaction is to be dropped; counts it if so.
+    fn take_dropped_commit(&self) -> bool {
         let mut state = self.cell.state.lock();
-        let swallows = state.swallowed > 0;
-        state.swallowed = state.swallowed.saturating_sub(1);
-        swallows
+        let dropped = state.commits_to_drop > 0;
+        state.commits_to_drop = state.commits_to_drop.saturating_sub(1);
+        dropped
     }
 }
 
 #[async_trait]
-impl entry::Store for View {
+impl entry::Store for HostView {
     async fn get(&self, key: &str) -> Result<Read, ServiceError> {
-        self.answer().await;
-        self.store(|state| Read { item: item(state, key), revision: state.revision })
+        self.delay_answer().await;
+        self.with_store(|state| Read { item: key_value(state, key), revision: state.revision })
     }
 
     async fn range(&self, prefix: &str) -> Result<Vec<KeyValue>, ServiceError> {
-        let takes = *self.cell.range_takes.lock();
-        tokio::time::sleep(takes).await;
-        self.store(|state| {
+        let delay = *self.cell.range_delay.lock();
+        tokio::time::sleep(delay).await;
+        self.with_store(|state| {
             let keys: Vec<String> = state.items.keys().filter(|key| key.starts_with(prefix)).cloned().collect();
-            keys.iter().filter_map(|key| item(state, key)).collect()
+            keys.iter().filter_map(|key| key_value(state, key)).collect()
         })
     }
 
     async fn watch(&self, _prefix: &str, revision: u64, wait: Duration) -> Result<WatchResult, ServiceError> {
-        self.wait(revision, wait).await
+        self.wait_for_change(revision, wait).await
     }
 
     async fn commit(&self, transaction: &Transaction, patience: Duration) -> Result<CommitOutcome, ServiceError> {
-        if self.swallows() {
-            let waiting = Waiting(&self.cell);
+        if self.take_dropped_commit() {
+            let unanswered = UnansweredCommit(&self.cell);
             tokio::time::sleep(patience).await;
-            std::mem::forget(waiting);
-            return Err(ServiceError::Unknown("swallowed".to_owned()));
+            std::mem::forget(unanswered);
+            return Err(ServiceError::Unknown("the transaction was dropped".to_owned()));
         }
-        let _answering = Answering::begin(&self.cell);
-        let committed = self.store(|state| {
+        let _in_progress = CommitInProgress::begin(&self.cell);
+        let committed = self.with_store(|state| {
             state.commits_sent += 1;
-            let commit = self.cell.carry_out(state, transaction);
-            if state.lost_answers > 0 {
-                state.lost_answers -= 1;
+            let commit = self.cell.apply(state, transaction);
+            if state.answers_to_lose > 0 {
+                state.answers_to_lose -= 1;
                 return Err(ServiceError::Unknown("the answer is lost".to_owned()));
             }
             Ok(commit)
         })?;
-        let takes = *self.cell.commit_takes.lock();
-        tokio::time::sleep(takes.min(patience)).await;
-        if takes > patience { Err(ServiceError::Unknown("too slow".to_owned())) } else { committed }
+        let delay = *self.cell.commit_delay.lock();
+        tokio::time::sleep(delay.min(patience)).await;
+        if delay > patience { Err(ServiceError::Unknown("the answer came too late".to_owned())) } else { committed }
     }
 
     async fn grant_lease(&self, ttl: Duration) -> Result<LeaseId, ServiceError> {
-        self.store(|state| {
+        self.with_store(|state| {
             state.next_lease += 1;
-            state.leases.insert(state.next_lease, Lease { ends: Instant::now() + ttl, ttl });
+            state.leases.insert(state.next_lease, Lease { ends_at: Instant::now() + ttl, ttl });
             state.next_lease
         })
     }
 
     async fn renew_lease(&self, lease: LeaseId) -> Result<bool, ServiceError> {
-        let kept = self.store(|state| match state.leases.get_mut(&lease) {
+        let renewed = self.with_store(|state| match state.leases.get_mut(&lease) {
             Some(lease) => {
-                lease.ends = Instant::now() + lease.ttl;
+                lease.ends_at = Instant::now() + lease.ttl;
                 true
             }
             None => false,
         });
-        self.answer().await;
-        kept
+        self.delay_answer().await;
+        renewed
     }
 
     async fn revoke_lease(&self, lease: LeaseId) -> Result<(), ServiceError> {
-        self.store(|state| self.cell.drop_lease(state, lease))
+        self.with_store(|state| self.cell.drop_lease(state, lease))
     }
 }
 
 #[async_trait]
-impl entry::Directory for View {
+impl entry::Directory for HostView {
     async fn config(&self) -> Result<(Option<Config>, u64), ServiceError> {
-        self.store(|state| {
+        self.with_store(|state| {
             state.config_calls += 1;
             (state.config.clone(), state.revision)
         })
     }
 
     async fn watch_config(&self, revision: u64, wait: Duration) -> Result<WatchResult, ServiceError> {
-        self.store(|state| state.config_calls += 1)?;
-        self.wait(revision, wait).await
+        self.with_store(|state| state.config_calls += 1)?;
+        self.wait_for_change(revision, wait).await
     }
 
     async fn workers(&self) -> Result<BTreeMap<WorkerId, WorkerInfo>, ServiceError> {
         assert!(
-            !std::mem::take(&mut self.cell.state.lock().broken_list),
-            "the list breaks its reader, as a test wants it"
+            !std::mem::take(&mut self.cell.state.lock().panic_on_worker_list),
+            "a test made the next read of the worker list panic"
         );
-        let life = |(name, worker): (&String, &Runner)| {
+        let entry = |(name, worker): (&String, &Runner)| {
             (WorkerIncarnation { name, born: worker.born }.id(), worker.info.clone())
         };
-        self.store(|state| state.workers.iter().map(life).collect())
+        self.with_store(|state| state.workers.iter().map(entry).collect())
     }
 }
 
 #[async_trait]
-impl entry::Adviser for View {
+impl entry::Adviser for HostView {
     async fn advise(&self, _unit: Unit, workers: &[WorkerId]) -> Result<Vec<(WorkerId, String)>, ServiceError> {
         Ok(workers.iter().map(|worker| (worker.clone(), "ticket".to_owned())).collect())
     }
--- a/components/fakes/src/cell/calls.rs
+++ b/components/fakes/src/cell/calls.rs
@@ -1,4 +1,4 @@
-//! Calls under way, counted while they last, and workers' answers.
+//! Counts of calls in progress, and workers' answers.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -9,36 +9,37 @@
 use super::Cell;
 use crate::runner;
 
-/// A transaction that gets no answer. Dropped before the end of its time, it was abandoned.
-pub(super) struct Waiting<'a>(pub(super) &'a Cell);
+/// A transaction that gets no answer. If it is dropped, its sender gave up before its own timeout; a transaction whose
+/// timeout has passed is forgotten instead.
+pub(super) struct UnansweredCommit<'a>(pub(super) &'a Cell);
 
-impl Drop for Waiting<'_> {
+impl Drop for UnansweredCommit<'_> {
     fn drop(&mut self) {
-        self.0.state.lock().abandoned += 1;
+        self.0.state.lock().abandoned_commits += 1;
     }
 }
 
-/// A transaction that was done and whose answer is on its way.
-pub(super) struct Answering<'a>(&'a Cell);
+/// A transaction that has not been answered yet. Dropping it ends the count.
+pub(super) struct CommitInProgress<'a>(&'a Cell);
 
-impl Answering<'_> {
-    pub(super) fn begin(cell: &Cell) -> Answering<'_> {
+impl CommitInProgress<'_> {
+    pub(super) fn begin(cell: &Cell) -> CommitInProgress<'_> {
         let mut state = cell.state.lock();
-        state.answering += 1;
-        state.most_answering = state.most_answering.max(state.answering);
-        Answering(cell)
+        state.commits_in_progress += 1;
+        state.max_concurrent_commits = state.max_concurrent_commits.max(state.commits_in_progress);
+        CommitInProgress(cell)
     }
 }
 
-impl Drop for Answering<'_> {
+impl Drop for CommitInProgress<'_> {
     fn drop(&mut self) {
-        self.0.state.lock().answering -= 1;
+        self.0.state.lock().commits_in_progress -= 1;
     }
 }
 
-/// What a worker answers to an order.
-pub(super) fn reply(outcome: Reply<runner::Reply>) -> Reply<()> {
-    match outcome {
+/// Converts a fake worker's reply to that of the `entry` package.
+pub(super) fn into_entry_reply(reply: Reply<runner::Reply>) -> Reply<()> {
+    match reply {
         Reply::Done(runner::Reply::Done) => Reply::Done(()),
         Reply::Done(runner::Reply::Fenced) | Reply::Fenced => Reply::Fenced,
         Reply::Done(runner::Reply::Refused) => Reply::Refused(Refusal::Other),
@@ -47,92 +48,94 @@
     }
 }
 
-/// Workers wait for an end no longer than this, unless told otherwise: a test's end shouldn't wait for them.
-const MOST_WAIT: Duration = Duration::from_millis(20);
+/// Default limit of the time for which workers hold a renewal back until a run ends. It is short so that a finished
+/// test does not wait for them.
+const MAX_WAIT: Duration = Duration::from_millis(20);
 
-/// Calls of hosts to workers.
+/// Settings and counts of calls from hosts to workers.
 pub(super) struct Calls {
-    /// How long a worker waits for an end at most.
-    pub(super) most_wait: Duration,
-    /// What a call takes of the caller's processor.
-    price: Duration,
-    /// How long a first call takes until it is answered.
-    first_takes: Duration,
-    /// Workers that leaders of each term called for the first time, in the order of the calls.
+    /// Longest time for which a worker holds a renewal back until a run ends.
+    pub(super) max_wait: Duration,
+    /// CPU time that each call costs the caller.
+    cpu_time: Duration,
+    /// Delay of the answer to a first call.
+    first_delay: Duration,
+    /// Workers that the leader of each term called for the first time, in the order of the calls.
     first: BTreeMap<Term, Vec<WorkerId>>,
-    /// First calls that are under way, and the most that there were.
-    under_way: usize,
-    most_under_way: usize,
+    /// First calls in progress.
+    first_in_progress: usize,
+    /// The highest value that `first_in_progress` has had.
+    max_first_in_progress: usize,
 }
 
 impl Default for Calls {
     fn default() -> Calls {
         Calls {
-            most_wait: MOST_WAIT,
-            price: Duration::ZERO,
-            first_takes: Duration::ZERO,
+            max_wait: MAX_WAIT,
+            cpu_time: Duration::ZERO,
+            first_delay: Duration::ZERO,
             first: BTreeMap::new(),
-            under_way: 0,
-            most_under_way: 0,
+            first_in_progress: 0,
+            max_first_in_progress: 0,
         }
     }
 }
 
-/// A first call that is under way.
+/// A first call in progress. Dropping it ends the count.
 pub(super) struct FirstCall<'a>(&'a Cell);
 
 impl FirstCall<'_> {
     pub(super) fn begin<'a>(cell: &'a Cell, term: Term, worker: &str) -> FirstCall<'a> {
         let calls = &mut cell.state.lock().calls;
         calls.first.entry(term).or_default().push(worker.to_owned());
-        calls.under_way += 1;
-        calls.most_under_way = calls.most_under_way.max(calls.under_way);
+        calls.first_in_progress += 1;
+        calls.max_first_in_progress = calls.max_first_in_progress.max(calls.first_in_progress);
         FirstCall(cell)
     }
 }
 
 impl Drop for FirstCall<'_> {
     fn drop(&mut self) {
-        self.0.state.lock().calls.under_way -= 1;
+        self.0.state.lock().calls.first_in_progress -= 1;
     }
 }
 
 impl Cell {
-    /// What a call to a worker takes of its caller's processor from now on.
-    pub fn set_call_cpu_time(&self, price: Duration) {
-        self.state.lock().calls.price = price;
+    /// Sets the CPU time that each call to a worker costs the caller.
+    pub fn set_call_cpu_time(&self, cpu_time: Duration) {
+        self.state.lock().calls.cpu_time = cpu_time;
     }
 
-    /// Workers wait for an end as long as they are asked to, up to this time.
-    pub fn set_max_worker_wait(&self, most: Duration) {
-        self.state.lock().calls.most_wait = most;
+    /// Sets the longest time for which a worker holds a renewal back until a run ends, whatever the renewal asks for.
+    pub fn set_max_worker_wait(&self, max_wait: Duration) {
+        self.state.lock().calls.max_wait = max_wait;
     }
 
-    /// How long a worker that is called for the first time takes to answer from now on.
-    pub fn set_first_call_delay(&self, time: Duration) {
-        self.state.lock().calls.first_takes = time;
+    /// Sets the delay of a worker's answer to the first call of a leader.
+    pub fn set_first_call_delay(&self, delay: Duration) {
+        self.state.lock().calls.first_delay = delay;
     }
 
-    /// Workers that leaders of this term called for the first time, in the order of the calls.
+    /// Workers that the leader of this term called for the first time, in the order of the calls.
     pub fn first_calls(&self, term: Term) -> Vec<WorkerId> {
         self.state.lock().calls.first.get(&term).cloned().unwrap_or_default()
     }
 
-    /// The most first calls that were under way at once.
+    /// Highest number of first calls that were in progress at the same time.
     pub fn max_concurrent_first_calls(&self) -> usize {
-        self.state.lock().calls.most_under_way
+        self.state.lock().calls.max_first_in_progress
     }
 
-    /// Takes the processor's time for one call.
-    pub(super) fn spend(&self) {
-        let price = self.state.lock().calls.price;
-        let began = Instant::now();
-        while began.elapsed() < price {
+    /// Keeps the CPU busy for the cost of one call.
+    pub(super) fn spend_cpu_time(&self) {
+        let cpu_time = self.state.lock().calls.cpu_time;
+        let started_at = Instant::now();
+        while started_at.elapsed() < cpu_time {
             std::hint::spin_loop();
         }
     }
 
-    pub(super) fn first_call_time(&self) -> Duration {
-        self.state.lock().calls.first_takes
+    pub(super) fn first_call_delay(&self) -> Duration {
+        self.state.lock().calls.first_delay
     }
 }
--- a/components/fakes/src/cell/tampering.rs
+++ b/components/fakes/src/cell/tampering.rs
@@ -1,30 +1,34 @@
-//! What the store does with keys behind its clients' backs.
+//! Direct changes to the stored keys, without a transaction.
 
 use super::Cell;
 
 impl Cell {
-    /// Removes a key without a sign to its owner.
+    /// Removes a key without telling the host that owns it.
     pub fn delete_key(&self, key: &str) {
         let mut state = self.state.lock();
         state.items.remove(key);
-        self.change(&mut state);
+        self.record_change(&mut state);
     }
 
-    /// Changes all values below a prefix, as another version of the program would have written them.
+    /// Changes all values below a prefix, for example to what another version of the program would have written.
     pub fn rewrite_values(&self, prefix: &str, change: impl Fn(&mut Vec<u8>)) {
         let mut state = self.state.lock();
-        state.items.iter_mut().filter(|(key, _)| key.starts_with(prefix)).for_each(|(_, kept)| change(&mut kept.value));
+        state
+            .items
+            .iter_mut()
+            .filter(|(key, _)| key.starts_with(prefix))
+            .for_each(|(_, stored)| change(&mut stored.value));
     }
 
     /// All values below a prefix, in the order of their keys.
     pub fn values(&self, prefix: &str) -> Vec<Vec<u8>> {
         let state = self.state.lock();
         let below = state.items.iter().filter(|(key, _)| key.starts_with(prefix));
-        below.map(|(_, kept)| kept.value.clone()).collect()
+        below.map(|(_, stored)| stored.value.clone()).collect()
     }
 
-    /// Whoever reads the list of workers next panics.
+    /// Makes the next read of the list of workers panic.
     pub fn panic_on_next_worker_list(&self) {
-        self.state.lock().broken_list = true;
+        self.state.lock().panic_on_worker_list = true;
     }
 }
--- a/components/fakes/src/lib.rs
+++ b/components/fakes/src/lib.rs
@@ -1,8 +1,5 @@
-//! Small stand-ins for what stands outside walkhook: the platform, workers and backend servers. For the tests
-//! and the example only; the product never depends on this package.
-
-// Off until its wording is done.
-#![allow(clippy::missing_errors_doc, clippy::missing_panics_doc)]
+//! Fakes of the services that walkhook depends on: the platform, workers and backend servers. Only tests and examples
+//! use them; the product itself never depends on this package.
 
 mod backend;
 pub mod cell;
@@ -19,20 +16,20 @@
 
 use tokio::net::TcpListener;
 
-/// A listener on a free loopback port.
+/// Listens on `address`. Returns the actual address, too, because its port may be 0.
 pub(crate) async fn listen(address: SocketAddr) -> std::io::Result<(TcpListener, SocketAddr)> {
     let listener = TcpListener::bind(address).await?;
     let address = listener.local_addr()?;
     Ok((listener, address))
 }
 
-/// The loopback address with a port that the system chooses.
+/// The loopback address with port 0, for which the system chooses a free port.
 pub fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// A loopback address that no other test uses, so that all ports there are free, but for those that the system
-/// gives to outgoing connections. The same for all calls of a thread.
+/// A loopback address for the calling thread, which gets the same one with each call. No other test uses it, so all its
+/// ports are free except those that the system assigns to outgoing connections.
 pub fn own_ip() -> Ipv4Addr {
     thread_local! {
         static OWN: Ipv4Addr = new_ip();
@@ -40,7 +37,7 @@
     OWN.with(|own| *own)
 }
 
-/// Another such address with each call.
+/// Like [`own_ip`], but returns another address with each call.
 pub fn new_ip() -> Ipv4Addr {
     static IPS: AtomicU32 = AtomicU32::new(0);
     let (process, number) = (std::process::id(), IPS.fetch_add(1, Ordering::Relaxed));
--- a/components/fakes/src/platform.rs
+++ b/components/fakes/src/platform.rs
@@ -1,5 +1,5 @@
-//! A stand-in platform: the subset of the etcd v3 JSON gateway in use, kept in memory, and the list of hosts.
-//! It counts calls and can be told to go down, be slow, lose answers or lapse leases.
+//! A fake platform: an in-memory implementation of the part of the etcd v3 JSON gateway that is in use, and the list of
+//! hosts. It counts calls and can simulate an outage, slow or lost answers, expired leases and a compacted history.
 
 use std::collections::BTreeMap;
 use std::future::pending;
@@ -23,32 +23,32 @@
 use tokio::sync::{mpsc, watch};
 use web::Body;
 
-const MAX_BODY: usize = 32 * 1024 * 1024;
-const LAPSE_EVERY: Duration = Duration::from_millis(100);
-const PROGRESS_EVERY: Duration = Duration::from_millis(500);
+const MAX_BODY_BYTES: usize = 32 * 1024 * 1024;
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the platform is told to do wrong. Also the body of `POST /control`.
+/// Faults that the platform simulates. Also the body of `POST /control`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Control {
     /// Connections are accepted and never answered.
     pub down: bool,
-    /// Each answer waits for so long, in milliseconds.
+    /// Delay of each answer, in milliseconds.
     pub delay_ms: u64,
-    /// So many transactions take effect without an answer.
+    /// Number of next transactions that take effect but are never answered.
     pub lose_answers: u32,
-    /// All leases lapse now.
+    /// Expires all leases at once.
     pub lapse_leases: bool,
-    /// History before this point is forgotten, so that watches from earlier must read anew.
+    /// Discards the history of changes so far, so that watches from an earlier revision fail and must read again.
     pub compact: bool,
 }
 
-/// Calls so far. Also the body of `GET /counts`.
+/// Counts of calls so far. Also the body of `GET /counts`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Counts {
-    /// Calls by path.
+    /// Number of calls by path.
     pub calls: BTreeMap<String, u64>,
-    /// Watches that wait now.
+    /// Number of open watches.
     pub watches: u64,
 }
 
@@ -67,7 +67,7 @@
 
 struct Lease {
     ttl: Duration,
-    until: Instant,
+    expires_at: Instant,
 }
 
 #[derive(Default)]
@@ -83,17 +83,17 @@
     counts: Counts,
 }
 
-/// Another address of a platform.
+/// Another address of a platform, which can be cut off on its own.
 pub struct Endpoint {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    cut: Arc<AtomicBool>,
+    cut_off: Arc<AtomicBool>,
 }
 
 impl Endpoint {
-    /// Cuts it off, also the watches that go through it, or opens it again.
-    pub fn set_cut_off(&self, cut: bool) {
-        self.cut.store(cut, Ordering::Relaxed);
+    /// Cuts this address and the watches opened through it off, or restores it.
+    pub fn set_cut_off(&self, cut_off: bool) {
+        self.cut_off.store(cut_off, Ordering::Relaxed);
     }
 }
 
@@ -102,7 +102,7 @@
     revision: watch::Sender<u64>,
 }
 
-/// A running stand-in platform.
+/// A running fake platform.
 #[derive(Clone)]
 pub struct Platform {
     shared: Arc<Shared>,
@@ -111,58 +111,64 @@
 
 impl Platform {
     /// Starts a platform at `address`, which may have port 0.
+    ///
+    /// # Errors
+    /// If it can't listen on `address`.
     pub async fn start(address: SocketAddr) -> std::io::Result<Platform> {
         let (listener, address) = crate::listen(address).await?;
         let state = State { revision: 1, ..State::default() };
         let shared = Arc::new(Shared { state: Mutex::new(state), revision: watch::Sender::new(1) });
-        tokio::spawn(lapse(shared.clone()));
+        tokio::spawn(expire_leases(shared.clone()));
         let served = shared.clone();
-        let handler = move |request, _| answer(served.clone(), request);
+        let handler = move |request, _| handle_request(served.clone(), request);
         tokio::spawn(web::serve(listener, 4096, pending(), Duration::ZERO, handler));
         Ok(Platform { shared, address })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Opens another address that leads to the same store, and that can be cut off on its own.
+    /// Opens another address of the same store, which can be cut off on its own.
+    ///
+    /// # Errors
+    /// If no port can be opened.
     pub async fn add_endpoint(&self) -> std::io::Result<Endpoint> {
         let (listener, address) = crate::listen(crate::any_port()).await?;
-        let cut = Arc::new(AtomicBool::new(false));
-        let (shared, closed) = (self.shared.clone(), cut.clone());
+        let cut_off = Arc::new(AtomicBool::new(false));
+        let (shared, flag) = (self.shared.clone(), cut_off.clone());
         let handler = move |request, _| {
-            let (shared, closed) = (shared.clone(), closed.clone());
+            let (shared, flag) = (shared.clone(), flag.clone());
             async move {
-                if closed.load(Ordering::Relaxed) {
+                if flag.load(Ordering::Relaxed) {
                     pending::<()>().await;
                 }
-                answer_through(shared, request, Some(closed)).await
+                handle_endpoint_request(shared, request, Some(flag)).await
             }
         };
         tokio::spawn(web::serve(listener, 4096, pending(), Duration::ZERO, handler));
-        Ok(Endpoint { address, cut })
+        Ok(Endpoint { address, cut_off })
     }
 
-    /// Changes what it does wrong.
+    /// Sets the faults that it simulates from now on.
     pub fn control(&self, control: Control) {
         apply_control(&self.shared, control);
     }
 
-    /// Adds a host to the list, or replaces it.
+    /// Adds a host to the list, or replaces the one with the same name.
     pub fn add_host(&self, host: Host) {
         add_to_list(&self.shared, host);
     }
 
-    /// Takes a host off the list.
+    /// Removes a host from the list.
     pub fn remove_host(&self, name: &str) {
         let mut state = self.shared.state.lock();
         state.list.hosts.retain(|known| known.name != name);
         state.list.version += 1;
     }
 
-    /// Calls so far.
+    /// Counts of calls so far.
     pub fn counts(&self) -> Counts {
         self.shared.state.lock().counts.clone()
     }
@@ -184,8 +190,8 @@
 fn apply_control(shared: &Shared, control: Control) {
     let mut state = shared.state.lock();
     if control.lapse_leases {
-        let all: Vec<u64> = state.leases.keys().copied().collect();
-        all.into_iter().for_each(|lease| end_lease(&mut state, lease));
+        let leases: Vec<u64> = state.leases.keys().copied().collect();
+        leases.into_iter().for_each(|lease| remove_lease(&mut state, lease));
     }
     if control.compact {
         state.compacted = state.revision;
@@ -195,18 +201,19 @@
     shared.revision.send_replace(state.revision);
 }
 
-async fn lapse(shared: Arc<Shared>) {
+async fn expire_leases(shared: Arc<Shared>) {
     loop {
-        tokio::time::sleep(LAPSE_EVERY).await;
+        tokio::time::sleep(LEASE_CHECK_INTERVAL).await;
         let mut state = shared.state.lock();
         let now = Instant::now();
-        let lapsed: Vec<u64> = state.leases.iter().filter(|(_, lease)| lease.until <= now).map(|(id, _)| *id).collect();
-        lapsed.into_iter().for_each(|lease| end_lease(&mut state, lease));
+        let expired: Vec<u64> =
+            state.leases.iter().filter(|(_, lease)| lease.expires_at <= now).map(|(id, _)| *id).collect();
+        expired.into_iter().for_each(|lease| remove_lease(&mut state, lease));
         shared.revision.send_replace(state.revision);
     }
 }
 
-fn end_lease(state: &mut State, lease: u64) {
+fn remove_lease(state: &mut State, lease: u64) {
     state.leases.remove(&lease);
     let keys: Vec<Vec<u8>> =
         state.keys.iter().filter(|(_, stored)| stored.lease == lease).map(|(key, _)| key.clone()).collect();
@@ -224,79 +231,79 @@
     }
 }
 
-async fn answer(shared: Arc<Shared>, request: Request<Incoming>) -> Response<Body> {
-    answer_through(shared, request, None).await
+async fn handle_request(shared: Arc<Shared>, request: Request<Incoming>) -> Response<Body> {
+    handle_endpoint_request(shared, request, None).await
 }
 
-async fn answer_through(
+async fn handle_endpoint_request(
     shared: Arc<Shared>,
     request: Request<Incoming>,
-    door: Option<Arc<AtomicBool>>,
+    cut_off: Option<Arc<AtomicBool>>,
 ) -> Response<Body> {
     let path = request.uri().path().to_owned();
     let query = request.uri().query().map(str::to_owned);
-    let operator = matches!(path.as_str(), "/control" | "/counts" | "/list");
+    let is_control_call = matches!(path.as_str(), "/control" | "/counts" | "/list");
     let (down, delay) = {
         let mut state = shared.state.lock();
-        if !operator {
+        if !is_control_call {
             *state.counts.calls.entry(path.clone()).or_default() += 1;
         }
-        (state.control.down && !operator, Duration::from_millis(state.control.delay_ms))
+        (state.control.down && !is_control_call, Duration::from_millis(state.control.delay_ms))
     };
     if down {
         pending::<()>().await;
     }
-    if !operator && !delay.is_zero() {
+    if !is_control_call && !delay.is_zero() {
         tokio::time::sleep(delay).await;
     }
     match path.as_str() {
-        "/v3/kv/range" => with(request, |body| range(&shared, body)).await,
+        "/v3/kv/range" => with_body(request, |body| range(&shared, body)).await,
         "/v3/kv/txn" => transaction(&shared, request).await,
-        "/v3/lease/grant" => with(request, |body| grant(&shared, body)).await,
-        "/v3/lease/keepalive" => with(request, |body| keepalive(&shared, body)).await,
-        "/v3/lease/revoke" => with(request, |body| revoke(&shared, body)).await,
-        "/v3/watch" => start_watch(shared, request, door).await,
-        "/v1/hosts" => hosts(&shared, query.as_deref()),
+        "/v3/lease/grant" => with_body(request, |body| grant(&shared, body)).await,
+        "/v3/lease/keepalive" => with_body(request, |body| keepalive(&shared, body)).await,
+        "/v3/lease/revoke" => with_body(request, |body| revoke(&shared, body)).await,
+        "/v3/watch" => start_watch(shared, request, cut_off).await,
+        "/v1/hosts" => list_hosts(&shared, query.as_deref()),
         "/counts" => web::json(StatusCode::OK, &shared.state.lock().counts),
         "/list" => {
-            with(request, |host| {
+            with_body(request, |host| {
                 add_to_list(&shared, host);
                 web::json(StatusCode::OK, &())
             })
             .await
         }
         "/control" => {
-            with(request, |control| {
+            with_body(request, |control| {
                 apply_control(&shared, control);
                 web::json(StatusCode::OK, &())
             })
             .await
         }
-        _ => refuse(StatusCode::NOT_FOUND, "no such path"),
+        _ => error_response(StatusCode::NOT_FOUND, "no such path"),
     }
 }
 
-fn refuse(status: StatusCode, message: &str) -> Response<Body> {
+fn error_response(status: StatusCode, message: &str) -> Response<Body> {
     web::json(status, &Failure { code: 3, message: message.to_owned(), rest: BTreeMap::new() })
 }
 
 async fn read<T: DeserializeOwned>(request: Request<Incoming>) -> Option<T> {
-    let bytes = web::read_limited(request.into_body(), MAX_BODY).await?;
+    let bytes = web::read_limited(request.into_body(), MAX_BODY_BYTES).await?;
     serde_json::from_slice(&bytes).ok()
 }
 
-async fn with<T: DeserializeOwned>(
+async fn with_body<T: DeserializeOwned>(
     request: Request<Incoming>,
-    act: impl FnOnce(T) -> Response<Body>,
+    handle: impl FnOnce(T) -> Response<Body>,
 ) -> Response<Body> {
     match read(request).await {
-        Some(body) => act(body),
-        None => refuse(StatusCode::BAD_REQUEST, "unreadable body"),
+        Some(body) => handle(body),
+        None => error_response(StatusCode::BAD_REQUEST, "unreadable body"),
     }
 }
 
-/// The list, without hosts when the asker knows this version.
-fn hosts(shared: &Shared, query: Option<&str>) -> Response<Body> {
+/// Answers with the list of hosts, or only with its version if the caller knows that already.
+fn list_hosts(shared: &Shared, query: Option<&str>) -> Response<Body> {
     let state = shared.state.lock();
     let known = query.and_then(|query| query.strip_prefix("known=")).and_then(|known| known.parse::<u64>().ok());
     if known == Some(state.list.version) {
@@ -329,7 +336,7 @@
 
 async fn transaction(shared: &Shared, request: Request<Incoming>) -> Response<Body> {
     let Some(body) = read::<TxnRequest>(request).await else {
-        return refuse(StatusCode::BAD_REQUEST, "unreadable body");
+        return error_response(StatusCode::BAD_REQUEST, "unreadable body");
     };
     let (answer, lost) = commit(shared, body);
     if lost {
@@ -344,13 +351,13 @@
         if let Operation::Put(put) = operation
             && put.value.0.len() > store::MAX_VALUE
         {
-            return (refuse(StatusCode::BAD_REQUEST, "value too large"), false);
+            return (error_response(StatusCode::BAD_REQUEST, "value too large"), false);
         }
         if let Operation::Put(put) = operation
             && put.lease.0 != 0
             && !state.leases.contains_key(&put.lease.0)
         {
-            return (refuse(StatusCode::BAD_REQUEST, "requested lease not found"), false);
+            return (error_response(StatusCode::BAD_REQUEST, "requested lease not found"), false);
         }
     }
     let succeeded = request.compare.iter().all(|compare| {
@@ -359,7 +366,7 @@
     });
     if succeeded && !request.success.is_empty() {
         state.revision += 1;
-        request.success.into_iter().for_each(|operation| carry_out(&mut state, operation));
+        request.success.into_iter().for_each(|operation| apply(&mut state, operation));
     }
     shared.revision.send_replace(state.revision);
     let lost = state.control.lose_answers > 0;
@@ -367,7 +374,7 @@
     (web::json(StatusCode::OK, &TxnResponse { header: header(&state), succeeded }), lost)
 }
 
-fn carry_out(state: &mut State, operation: Operation) {
+fn apply(state: &mut State, operation: Operation) {
     match operation {
         Operation::Put(put) => {
             let revision = state.revision;
@@ -384,14 +391,14 @@
     state.last_lease += 1;
     let id = state.last_lease;
     let ttl = Duration::from_secs(request.ttl.0);
-    state.leases.insert(id, Lease { ttl, until: Instant::now() + ttl });
+    state.leases.insert(id, Lease { ttl, expires_at: Instant::now() + ttl });
     web::json(StatusCode::OK, &LeaseResponse { id: Number(id), ttl: request.ttl })
 }
 
 fn keepalive(shared: &Shared, request: LeaseRequest) -> Response<Body> {
     let mut state = shared.state.lock();
     let ttl = state.leases.get_mut(&request.id.0).map_or(0, |lease| {
-        lease.until = Instant::now() + lease.ttl;
+        lease.expires_at = Instant::now() + lease.ttl;
         lease.ttl.as_secs()
     });
     web::json(StatusCode::OK, &LeaseResponse { id: request.id, ttl: Number(ttl) })
@@ -399,19 +406,23 @@
 
 fn revoke(shared: &Shared, request: LeaseRequest) -> Response<Body> {
     let mut state = shared.state.lock();
-    end_lease(&mut state, request.id.0);
+    remove_lease(&mut state, request.id.0);
     shared.revision.send_replace(state.revision);
     web::json(StatusCode::OK, &LeaseResponse { id: request.id, ttl: Number(0) })
 }
 
-async fn start_watch(shared: Arc<Shared>, request: Request<Incoming>, door: Option<Arc<AtomicBool>>) -> Response<Body> {
+async fn start_watch(
+    shared: Arc<Shared>,
+    request: Request<Incoming>,
+    cut_off: Option<Arc<AtomicBool>>,
+) -> Response<Body> {
     let Some(request) = read::<WatchRequest>(request).await else {
-        return refuse(StatusCode::BAD_REQUEST, "unreadable body");
+        return error_response(StatusCode::BAD_REQUEST, "unreadable body");
     };
     let (sender, mut receiver) = mpsc::channel::<Bytes>(16);
     shared.state.lock().counts.watches += 1;
     tokio::spawn(async move {
-        send_changes(&shared, request, sender, door.as_deref()).await;
+        send_changes(&shared, request, sender, cut_off.as_deref()).await;
         shared.state.lock().counts.watches -= 1;
     });
     let stream = futures_util::stream::poll_fn(move |context| {
@@ -420,13 +431,18 @@
     Response::new(StreamBody::new(stream).boxed())
 }
 
-async fn send_changes(shared: &Shared, request: WatchRequest, sender: mpsc::Sender<Bytes>, door: Option<&AtomicBool>) {
+async fn send_changes(
+    shared: &Shared,
+    request: WatchRequest,
+    sender: mpsc::Sender<Bytes>,
+    cut_off: Option<&AtomicBool>,
+) {
     let create = request.create_request;
     let wanted = RangeRequest { key: create.key, range_end: create.range_end };
     let mut next = create.start_revision.0;
     let mut revisions = shared.revision.subscribe();
     loop {
-        if door.is_some_and(|cut| cut.load(Ordering::Relaxed)) {
+        if cut_off.is_some_and(|flag| flag.load(Ordering::Relaxed)) {
             return;
         }
         let (down, result) = {
@@ -441,7 +457,7 @@
         if ended {
             return;
         }
-        let moved = async {
+        let next_change = async {
             while let Ok(()) = revisions.changed().await {
                 if *revisions.borrow() >= next {
                     return;
@@ -449,13 +465,13 @@
             }
         };
         tokio::select! {
-            _ = tokio::time::timeout(PROGRESS_EVERY, moved) => {}
+            _ = tokio::time::timeout(PROGRESS_INTERVAL, next_change) => {}
             () = sender.closed() => return,
         }
     }
 }
 
-/// Changes from `next` on; moves `next` beyond them.
+/// The changes from revision `next` on. Advances `next` past the current revision.
 fn changes(state: &State, wanted: &RangeRequest, next: &mut u64) -> WatchResult {
     if *next <= state.compacted {
         return WatchResult { compact_revision: Number(state.compacted + 1), canceled: true, ..WatchResult::default() };
--- a/components/fakes/src/runner.rs
+++ b/components/fakes/src/runner.rs
@@ -1,5 +1,5 @@
-//! A stand-in for a worker that runs callers' tasks: it fences by the leader's term, leases by its own clock, and
-//! lists ends until they are acknowledged. Time is an argument.
+//! A fake worker that runs callers' tasks. It rejects orders from leaders of older terms, measures leases by its own
+//! clock and reports the ends of runs until they are acknowledged. The current time is passed in by the caller.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,53 +8,53 @@
 use sched::{End, RunOutcome, Running, WorkerInfo};
 use work::{Attempt, Task, Term};
 
-/// What a runner makes of an order.
+/// A worker's reply to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// It was taken.
+    /// The order was carried out.
     Done,
-    /// A leader with a higher term was here.
+    /// Rejected: a leader with a higher term has called before.
     Fenced,
-    /// It was refused: the run is old, or the order came late.
+    /// Rejected: the attempt has already been settled, or the lease in the order has expired.
     Refused,
 }
 
-/// A task that runs.
+/// A run in progress.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// The room that it takes.
+    /// Resources that it uses.
     pub need: Resources,
-    /// When it ends.
+    /// Time at which it ends.
     pub ends_at: Duration,
-    /// How it ends.
+    /// Outcome that it ends with.
     pub outcome: RunOutcome,
 }
 
-/// One life of a worker.
+/// One incarnation of a worker.
 #[derive(Clone, Debug)]
 pub struct Runner {
-    /// What it says of itself.
+    /// What the directory reports of it.
     pub info: WorkerInfo,
-    /// When it started, in milliseconds since 1970, where the platform tells.
+    /// Start time in milliseconds since 1970, if the platform reports it.
     pub born: Option<u64>,
-    /// Whether orders and renewals reach it.
+    /// Whether calls reach it.
     pub reachable: bool,
-    /// Highest term seen.
+    /// Highest term of a leader that has called.
     pub highest_term: Term,
-    /// End of all leases.
+    /// Time at which the leases of all runs expire.
     pub lease_until: Duration,
-    /// What runs.
+    /// Runs in progress.
     pub runs: BTreeMap<(Task, Attempt), Run>,
-    /// Ends that aren't acknowledged.
+    /// Ends that have not been acknowledged yet.
     pub ended: Vec<End>,
     /// Number of the last end.
     pub last_end_number: u64,
-    /// Highest run of each task that was stopped or has ended here.
+    /// Highest attempt of each task that was stopped or has ended here. It and earlier ones are not started again.
     pub settled: BTreeMap<Task, Attempt>,
 }
 
 impl Runner {
-    /// An empty one.
+    /// Creates a worker without runs.
     pub fn new(address: String, capacity: Resources) -> Runner {
         let info = WorkerInfo {
             address,
@@ -78,7 +78,7 @@
         }
     }
 
-    fn admit(&mut self, term: Term) -> bool {
+    fn accept_term(&mut self, term: Term) -> bool {
         if term < self.highest_term {
             return false;
         }
@@ -86,41 +86,46 @@
         true
     }
 
-    /// Starts a run until its time is over or the lease is.
+    /// Starts a run, which lasts until it ends or its lease expires. A run that is already in progress is kept.
     pub fn start(&mut self, now: Duration, term: Term, until: Duration, key: (Task, Attempt), run: Run) -> Reply {
-        if !self.admit(term) {
+        if !self.accept_term(term) {
             return Reply::Fenced;
         }
         self.lease_until = self.lease_until.max(until);
-        let old = self.settled.get(&key.0).is_some_and(|attempt| key.1 <= *attempt);
-        if until < now || (old && !self.runs.contains_key(&key)) {
+        let superseded = self.settled.get(&key.0).is_some_and(|attempt| key.1 <= *attempt);
+        if until < now || (superseded && !self.runs.contains_key(&key)) {
             return Reply::Refused;
         }
         self.runs.entry(key).or_insert(run);
         Reply::Done
     }
 
-    /// Stops a run. One that isn't there is refused from then on.
+    /// Stops a run. Whether or not it was in progress, orders to start this attempt or an earlier one are refused
+    /// from then on.
     pub fn stop(&mut self, term: Term, task: Task, attempt: Attempt) -> Reply {
-        if !self.admit(term) {
+        if !self.accept_term(term) {
             return Reply::Fenced;
         }
         let settled = self.settled.entry(task).or_default();
         *settled = attempt.max(*settled);
         if self.runs.remove(&(task, attempt)).is_some() {
-            self.end(task, attempt, RunOutcome::Stopped);
+            self.record_end(task, attempt, RunOutcome::Stopped);
         }
         Reply::Done
     }
 
-    /// Renews all leases and acknowledges ends.
+    /// Renews the leases of all runs and drops the ends that the caller acknowledges. Returns the runs in progress and
+    /// the ends that have not been acknowledged.
+    ///
+    /// # Errors
+    /// [`Reply::Fenced`] if a leader with a higher term has called before.
     pub fn renew(
         &mut self,
         term: Term,
         until: Option<Duration>,
         acked: u64,
     ) -> Result<(Vec<Running>, Vec<End>), Reply> {
-        if !self.admit(term) {
+        if !self.accept_term(term) {
             return Err(Reply::Fenced);
         }
         self.lease_until = self.lease_until.max(until.unwrap_or_default());
@@ -134,30 +139,33 @@
         Ok((running.collect(), self.ended.clone()))
     }
 
-    fn end(&mut self, task: Task, attempt: Attempt, how: RunOutcome) {
+    fn record_end(&mut self, task: Task, attempt: Attempt, outcome: RunOutcome) {
         self.last_end_number += 1;
         let settled = self.settled.entry(task).or_default();
         *settled = attempt.max(*settled);
-        self.ended.push(End { number: self.last_end_number, task, attempt, outcome: how, checkpoint: String::new() });
+        self.ended.push(End { number: self.last_end_number, task, attempt, outcome, checkpoint: String::new() });
     }
 
-    /// Ends what is due, and everything once the lease is over.
+    /// Ends runs that are due, and all others as lapsed once the lease has expired. Returns those that ended.
     pub fn tick(&mut self, now: Duration) -> Vec<(Task, Attempt, RunOutcome)> {
-        let lapsed = now > self.lease_until;
+        let lease_expired = now > self.lease_until;
         let due: Vec<_> = self
             .runs
             .iter()
-            .filter(|(_, run)| lapsed || run.ends_at <= now)
+            .filter(|(_, run)| lease_expired || run.ends_at <= now)
             .map(|(key, run)| (key.0, key.1, if run.ends_at <= now { run.outcome } else { RunOutcome::Lapsed }))
             .collect();
-        for (task, attempt, how) in &due {
+        for (task, attempt, outcome) in &due {
             self.runs.remove(&(*task, *attempt));
-            self.end(*task, *attempt, *how);
+            self.record_end(*task, *attempt, *outcome);
         }
         due
     }
 
-    /// What its runs take.
+    /// Resources that all runs in progress use.
+    ///
+    /// # Panics
+    /// If their sum overflows.
     pub fn used_resources(&self) -> Resources {
         self.runs.values().fold(Resources::ZERO, |sum, run| sum.checked_add(&run.need).expect("no overflow"))
     }
--- a/components/fakes/src/worker.rs
+++ b/components/fakes/src/worker.rs
@@ -1,5 +1,5 @@
-//! A stand-in worker. A task's program is a few words: `run 2s` ends by itself, `fail` fails at once,
-//! `serve 5ms` answers callers, each answer after 5 ms of work.
+//! A fake worker. The program of a task is one of a few commands: `run 2s` finishes after 2 s, `fail` fails at once and
+//! `serve 5ms` starts a backend server that works on each request for 5 ms.
 
 use std::collections::BTreeMap;
 use std::future::pending;
@@ -17,18 +17,18 @@
 
 use crate::backend::Backend;
 
-const MAX_BODY: usize = 4 * 1024 * 1024;
-const TICK: Duration = Duration::from_millis(20);
+const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What the worker is told to do wrong.
+/// Fault that a worker simulates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WorkerFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// Every task fails at once.
+    /// All tasks fail at once.
     FailAllTasks,
-    /// Requests are not answered.
+    /// Requests are never answered.
     Unresponsive,
 }
 
@@ -37,27 +37,27 @@
     started_at: Instant,
     saved_at: Instant,
     lease_until: Duration,
-    ends_after: Option<Duration>,
+    duration: Option<Duration>,
     backend: Option<Backend>,
 }
 
 struct State {
     capacity: Resources,
     incarnation: Incarnation,
-    born: Instant,
+    clock_start: Instant,
     epoch: Epoch,
     sequence: u64,
     holder: HostId,
     leaving: bool,
-    conduct: WorkerFault,
+    fault: WorkerFault,
     tasks: BTreeMap<(Id, Attempt), Running>,
-    /// Every attempt that was ever started here, in order.
+    /// All attempts that were ever started here, in the order of their start.
     starts: Vec<(Id, Attempt)>,
-    /// Most resources that were ever in use at once, by dimension.
+    /// Highest use of each resource so far.
     peak: Resources,
 }
 
-/// A running stand-in worker.
+/// A running fake worker.
 #[derive(Clone)]
 pub struct Worker {
     state: Arc<Mutex<State>>,
@@ -66,17 +66,20 @@
 
 impl Worker {
     /// Starts a worker at `address`, which may have port 0.
+    ///
+    /// # Errors
+    /// If it can't listen on `address`.
     pub async fn start(address: SocketAddr, capacity: Resources) -> std::io::Result<Worker> {
         let (listener, address) = crate::listen(address).await?;
         let state = State {
             capacity,
-            incarnation: crate::worker::life(),
-            born: Instant::now(),
+            incarnation: crate::worker::new_incarnation(),
+            clock_start: Instant::now(),
             epoch: 0,
             sequence: 0,
             holder: String::new(),
             leaving: false,
-            conduct: WorkerFault::None,
+            fault: WorkerFault::None,
             tasks: BTreeMap::new(),
             starts: Vec::new(),
             peak: Resources::ZERO,
@@ -84,25 +87,25 @@
         let state = Arc::new(Mutex::new(state));
         tokio::spawn(tick(state.clone()));
         let served = state.clone();
-        let handler = move |request, _| answer(served.clone(), request);
+        let handler = move |request, _| handle_request(served.clone(), request);
         tokio::spawn(web::serve(listener, 256, pending(), Duration::ZERO, handler));
         Ok(Worker { state, address })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes what it does wrong.
-    pub fn set_fault(&self, conduct: WorkerFault) {
-        self.state.lock().conduct = conduct;
+    /// Sets the fault that it simulates from now on.
+    pub fn set_fault(&self, fault: WorkerFault) {
+        self.state.lock().fault = fault;
     }
 
-    /// Loses everything that it had, as a worker that was restarted.
+    /// Ends all tasks and forgets all state, like a worker that was restarted.
     pub fn restart_empty(&self) {
         let mut state = self.state.lock();
-        for running in state.tasks.values_mut().filter(|running| !ended(running)) {
+        for running in state.tasks.values_mut().filter(|running| !has_ended(running)) {
             finish(running, End::Restarted);
         }
         state.tasks.clear();
@@ -111,30 +114,30 @@
         state.sequence = 0;
     }
 
-    /// Starts its way out.
+    /// Reports from now on that it is leaving.
     pub fn leave(&self) {
         self.state.lock().leaving = true;
     }
 
-    /// Every attempt that was ever started here.
+    /// All attempts that were ever started here.
     pub fn starts(&self) -> Vec<(Id, Attempt)> {
         self.state.lock().starts.clone()
     }
 
-    /// Tasks that run now.
+    /// Tasks in progress.
     pub fn running(&self) -> Vec<Id> {
         let state = self.state.lock();
-        let live = state.tasks.values().filter(|running| !ended(running));
+        let live = state.tasks.values().filter(|running| !has_ended(running));
         live.map(|running| running.task.task.clone()).collect()
     }
 
-    /// Attempts that run now.
+    /// Attempts in progress.
     pub fn running_attempts(&self) -> Vec<(Id, Attempt)> {
         let state = self.state.lock();
-        state.tasks.iter().filter(|(_, running)| !ended(running)).map(|(key, _)| key.clone()).collect()
+        state.tasks.iter().filter(|(_, running)| !has_ended(running)).map(|(key, _)| key.clone()).collect()
     }
 
-    /// Most that was ever in use at once, by dimension.
+    /// Highest use of each resource so far.
     pub fn peak(&self) -> Resources {
         self.state.lock().peak
     }
@@ -145,31 +148,31 @@
     }
 }
 
-/// A number that a later start of the same worker exceeds.
-fn life() -> Incarnation {
+/// A number that is higher with each start of the same worker: the nanoseconds since 1970.
+fn new_incarnation() -> Incarnation {
     let since = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     since.map_or(1, |since| since.as_nanos() as u64)
 }
 
-fn ended(running: &Running) -> bool {
+fn has_ended(running: &Running) -> bool {
     matches!(running.task.run, AttemptState::Ended { .. })
 }
 
 async fn tick(state: Arc<Mutex<State>>) {
     loop {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(TICK_INTERVAL).await;
         end_due(&mut state.lock());
     }
 }
 
-/// Ends what has run its time, and what has lost its lease.
+/// Ends tasks whose duration is over or whose lease has expired.
 fn end_due(state: &mut State) {
-    let now = state.born.elapsed();
+    let now = state.clock_start.elapsed();
     for running in state.tasks.values_mut() {
-        if ended(running) {
+        if has_ended(running) {
             continue;
         }
-        let done = running.ends_after.is_some_and(|after| running.started_at.elapsed() >= after);
+        let done = running.duration.is_some_and(|after| running.started_at.elapsed() >= after);
         let end = match done {
             _ if now > running.lease_until => End::Lost,
             true => End::Finished,
@@ -186,32 +189,32 @@
     running.task.run = AttemptState::Ended { end };
 }
 
-async fn answer(state: Arc<Mutex<State>>, request: Request<Incoming>) -> Response<Body> {
-    if state.lock().conduct == WorkerFault::Unresponsive {
+async fn handle_request(state: Arc<Mutex<State>>, request: Request<Incoming>) -> Response<Body> {
+    if state.lock().fault == WorkerFault::Unresponsive {
         pending::<()>().await;
     }
     let path = request.uri().path().to_owned();
-    let Some(bytes) = web::read_limited(request.into_body(), MAX_BODY).await else {
+    let Some(bytes) = web::read_limited(request.into_body(), MAX_BODY_BYTES).await else {
         return web::json(StatusCode::BAD_REQUEST, &"unreadable body");
     };
     let outcome = match path.as_str() {
         "/v1/hold" => serde_json::from_slice(&bytes).map(|body| hold(&state, body)),
         "/v1/batch" => match serde_json::from_slice(&bytes) {
             Ok(body) => Ok(batch(&state, body).await),
-            Err(fault) => Err(fault),
+            Err(error) => Err(error),
         },
         _ => return web::json(StatusCode::NOT_FOUND, &"no such path"),
     };
     match outcome {
         Ok(Ok(report)) => web::json(StatusCode::OK, &report),
         Ok(Err(refusal)) => web::json(StatusCode::CONFLICT, &refusal),
-        Err(fault) => web::json(StatusCode::BAD_REQUEST, &fault.to_string()),
+        Err(error) => web::json(StatusCode::BAD_REQUEST, &error.to_string()),
     }
 }
 
 fn hold(state: &Mutex<State>, request: Hold) -> Result<Report, Refusal> {
     let mut state = state.lock();
-    // First of all: after a pause nothing may outlive its lease.
+    // Comes first because no task may outlive its lease, even if this process was paused.
     end_due(&mut state);
     if request.epoch <= state.epoch {
         return Err(Refusal { epoch: state.epoch, holder: state.holder.clone() });
@@ -223,13 +226,13 @@
 }
 
 async fn batch(state: &Mutex<State>, request: Batch) -> Result<Report, Refusal> {
-    let mut servers = Vec::new();
+    let mut backends = Vec::new();
     for command in &request.commands {
         if let Command::Start { service: true, run, .. } = command {
-            servers.push(Backend::start(crate::any_port(), work_of(run)).await.ok());
+            backends.push(Backend::start(crate::any_port(), work_time(run)).await.ok());
         }
     }
-    let mut servers = servers.into_iter();
+    let mut backends = backends.into_iter();
     let mut state = state.lock();
     end_due(&mut state);
     if request.epoch != state.epoch || request.sequence <= state.sequence {
@@ -242,36 +245,31 @@
     }
     for command in request.commands {
         let is_service = matches!(command, Command::Start { service: true, .. });
-        let server = if is_service { servers.next().flatten() } else { None };
-        carry_out(&mut state, command, lease_until, server);
+        let backend = if is_service { backends.next().flatten() } else { None };
+        execute(&mut state, command, lease_until, backend);
     }
     Ok(report(&state))
 }
 
-fn carry_out(state: &mut State, command: Command, lease_until: Duration, server: Option<Backend>) {
+fn execute(state: &mut State, command: Command, lease_until: Duration, backend: Option<Backend>) {
     match command {
         Command::Start { task, attempt, resources, run, patient, .. } => {
             let key = (task.clone(), attempt);
             if state.tasks.contains_key(&key) {
-                server.inspect(Backend::stop);
+                backend.inspect(Backend::stop);
                 return;
             }
             state.starts.push(key.clone());
-            let failure = failure_of(state.conduct, &run);
-            let address = server.as_ref().map(Backend::address);
-            let run_now = failure.map_or(AttemptState::Running { address }, |end| AttemptState::Ended { end });
-            let task = AttemptReport { task, attempt, resources, patient, run: run_now, unsaved_ms: 0, usage: None };
-            let ends_after = time_of(&run);
-            let running = Running {
-                task,
-                started_at: Instant::now(),
-                saved_at: Instant::now(),
-                lease_until,
-                ends_after,
-                backend: server,
-            };
+            let failure = simulated_failure(state.fault, &run);
+            let address = backend.as_ref().map(Backend::address);
+            let attempt_state = failure.map_or(AttemptState::Running { address }, |end| AttemptState::Ended { end });
+            let task =
+                AttemptReport { task, attempt, resources, patient, run: attempt_state, unsaved_ms: 0, usage: None };
+            let duration = run_duration(&run);
+            let running =
+                Running { task, started_at: Instant::now(), saved_at: Instant::now(), lease_until, duration, backend };
             state.tasks.insert(key, running);
-            note_peak(state);
+            update_peak(state);
         }
         Command::Stop { task, attempt } => stop(state, task, attempt, lease_until),
         Command::Acknowledge { task, attempt } => {
@@ -289,7 +287,7 @@
 fn stop(state: &mut State, task: Id, attempt: Attempt, lease_until: Duration) {
     let key = (task.clone(), attempt);
     if let Some(running) = state.tasks.get_mut(&key) {
-        if !ended(running) {
+        if !has_ended(running) {
             finish(running, End::Stopped);
         }
         return;
@@ -302,15 +300,15 @@
         started_at: Instant::now(),
         saved_at: Instant::now(),
         lease_until,
-        ends_after: None,
+        duration: None,
         backend: None,
     };
     state.tasks.insert(key, running);
 }
 
-fn note_peak(state: &mut State) {
+fn update_peak(state: &mut State) {
     let mut used = Resources::ZERO;
-    for running in state.tasks.values().filter(|running| !ended(running)) {
+    for running in state.tasks.values().filter(|running| !has_ended(running)) {
         used = used.checked_add(&running.task.resources).unwrap_or(used);
     }
     state.peak = Resources {
@@ -323,19 +321,19 @@
 fn report(state: &State) -> Report {
     Report {
         incarnation: state.incarnation,
-        stamp_ms: state.born.elapsed().as_millis() as u64,
+        stamp_ms: state.clock_start.elapsed().as_millis() as u64,
         capacity: state.capacity,
         leaving: state.leaving,
-        tasks: state.tasks.values().map(reported).collect(),
+        tasks: state.tasks.values().map(attempt_report).collect(),
     }
 }
 
-fn reported(running: &Running) -> AttemptReport {
+fn attempt_report(running: &Running) -> AttemptReport {
     AttemptReport { unsaved_ms: running.saved_at.elapsed().as_millis() as u64, ..running.task.clone() }
 }
 
-fn failure_of(conduct: WorkerFault, run: &str) -> Option<End> {
-    let message = match (conduct, run.split_whitespace().next()) {
+fn simulated_failure(fault: WorkerFault, run: &str) -> Option<End> {
+    let message = match (fault, run.split_whitespace().next()) {
         (WorkerFault::FailAllTasks, _) => "the worker's disk is full",
         (_, Some("fail")) => "exit status 1",
         _ => return None,
@@ -343,12 +341,12 @@
     Some(End::Failed { message: message.to_owned() })
 }
 
-fn time_of(run: &str) -> Option<Duration> {
+fn run_duration(run: &str) -> Option<Duration> {
     let words = run.strip_prefix("run ")?;
     humantime::parse_duration(words.trim()).ok()
 }
 
-fn work_of(run: &str) -> Duration {
+fn work_time(run: &str) -> Duration {
     let words = run.strip_prefix("serve").unwrap_or_default();
     humantime::parse_duration(words.trim()).unwrap_or_default()
 }
