--- a/bins/walkhook/src/account.rs
+++ b/bins/walkhook/src/account.rs
@@ -1,4 +1,5 @@
-//! `account FILE...`: from the logs of all hosts, how many jobs of each queue were late, and what their time went on.
+//! `account FILE...`: counts the jobs of each queue from the logs of all hosts, with the late ones by the cause of
+//! their delay.
 
 use std::collections::{BTreeMap, HashMap};
 use std::path::Path;
@@ -10,7 +11,7 @@
 
 use crate::cli::Output;
 
-/// Numbers of the events that are counted; see docs/EVENTS.md.
+/// Numbers of the log events that are read; see docs/EVENTS.md.
 mod event {
     pub const REFUSED: u64 = 611;
     pub const ENDED: u64 = 612;
@@ -19,45 +20,45 @@
     pub const ADVICE: u64 = 616;
 }
 
-/// A cause stands out when it took this share of the time by which the job was late.
-const NOTABLE: f64 = 0.5;
+/// Share of the time by which a job was late above which a cause counts as its main cause.
+const MIN_CAUSE_SHARE: f64 = 0.5;
 
-/// What the time of a late job went on, the most of it.
+/// Main cause of the delay of a late job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Cause {
-    /// Acceptance and room, before its first start.
+    /// Waiting for acceptance and for free resources before the first start.
     Waiting,
-    /// Questions to the adviser, before its first start.
+    /// Requests to the adviser before the first start.
     Advice,
-    /// Orders without an answer.
+    /// Start orders that got no answer.
     LostOrder,
     /// Runs that failed.
     FailedRun,
-    /// Runs whose leases ran out, or that were stopped for others.
+    /// Runs whose leases expired, or that were stopped in favour of others.
     Interrupted,
-    /// The runs that were done.
+    /// The successful runs themselves.
     Running,
 }
 
-/// What the logs tell of one job; times in milliseconds since 1970.
+/// Events of one job in the logs. Points in time are in milliseconds since 1970, durations in milliseconds.
 #[derive(Debug, Default)]
-struct Job {
+struct JobRecord {
     queue: String,
     refused: u64,
     outcome: Option<String>,
-    took: f64,
+    duration: f64,
     objective: f64,
-    ended: f64,
+    ended_at: f64,
     orders: Vec<Order>,
-    ends: Vec<End>,
-    questions: Vec<Question>,
+    run_ends: Vec<RunEnd>,
+    advice_requests: Vec<AdviceRequest>,
 }
 
-/// A question to the adviser.
+/// A request to the adviser.
 #[derive(Debug)]
-struct Question {
-    asked: f64,
-    answered: f64,
+struct AdviceRequest {
+    sent_at: f64,
+    answered_at: f64,
 }
 
 #[derive(Debug)]
@@ -68,24 +69,24 @@
 }
 
 #[derive(Debug)]
-struct End {
+struct RunEnd {
     at: f64,
     task: String,
     how: String,
 }
 
-/// A row of the account: the jobs of one queue.
+/// The jobs of one queue: a row of the output.
 #[derive(Debug, Default, Serialize, Tabled)]
 struct Row {
     queue: String,
     completed: u64,
     failed: u64,
     cancelled: u64,
-    /// Attempts that were refused, all together.
+    /// Total number of refused attempts.
     refusals: u64,
-    /// From acceptance to the first start, of half the jobs that were completed within, in milliseconds.
+    /// Median time from acceptance to the first start of completed jobs, in milliseconds.
     first_start_p50_ms: u64,
-    /// The same of 95 of 100.
+    /// 95th percentile of the same time.
     first_start_p95_ms: u64,
     late: u64,
     waiting: u64,
@@ -96,23 +97,23 @@
     running: u64,
 }
 
-/// The files, if the words ask for an account.
-pub(crate) fn command(words: &[String]) -> Result<Option<Vec<String>>> {
-    match words {
+/// Parses the arguments of `account`. Returns `None` for another command.
+pub(crate) fn command(arguments: &[String]) -> Result<Option<Vec<String>>> {
+    match arguments {
         [first, files @ ..] if first == "account" && !files.is_empty() => Ok(Some(files.to_vec())),
         [first, ..] if first == "account" => bail!("use: account FILE..."),
         _ => Ok(None),
     }
 }
 
-/// Prints the account of all jobs in the logs.
+/// Prints the counts of all jobs in the logs.
 pub(crate) fn run(files: &[String], output: Output) -> Result<()> {
     let mut jobs = HashMap::new();
     for file in files {
         let text = std::fs::read_to_string(Path::new(file)).with_context(|| format!("{file}: can't be read"))?;
-        text.lines().filter_map(parse).for_each(|line| take(&mut jobs, &line));
+        text.lines().filter_map(parse_event).for_each(|line| record_event(&mut jobs, &line));
     }
-    let rows = rows(jobs.into_values());
+    let rows = rows_by_queue(jobs.into_values());
     match output {
         Output::Table => println!("{}", Table::new(&rows)),
         Output::Json => println!("{}", serde_json::to_string(&rows)?),
@@ -120,18 +121,19 @@
     Ok(())
 }
 
-/// The event of a line. What isn't a line of ours is passed over: logs may hold other programs' lines.
-fn parse(line: &str) -> Option<Value> {
+/// Parses the event of a log line. Returns `None` for a line without JSON, because logs may also contain lines of other
+/// programs.
+fn parse_event(line: &str) -> Option<Value> {
     serde_json::from_str(&line[line.find('{')?..]).ok()
 }
 
-/// Takes in one event.
-fn take(jobs: &mut HashMap<String, Job>, event: &Value) {
+/// Adds an event to the record of its job.
+fn record_event(jobs: &mut HashMap<String, JobRecord>, event: &Value) {
     let text = |name: &str| event[name].as_str().unwrap_or_default();
     let task = text("task");
     let unit = if task.is_empty() { text("unit") } else { task };
     let id = if unit.is_empty() { text("job") } else { unit.split('.').next().unwrap_or_default() };
-    let Some(at) = millis(text("ts")).filter(|_| !id.is_empty()) else { return };
+    let Some(at) = unix_millis(text("ts")).filter(|_| !id.is_empty()) else { return };
     let job = jobs.entry(id.to_owned()).or_default();
     let task = task.to_owned();
     match event["event"].as_u64() {
@@ -139,31 +141,32 @@
         Some(event::ENDED) => {
             job.queue = text("queue").to_owned();
             job.outcome = Some(text("outcome").to_owned());
-            job.took = event["took_ms"].as_f64().unwrap_or_default();
+            job.duration = event["took_ms"].as_f64().unwrap_or_default();
             job.objective = event["objective_ms"].as_f64().unwrap_or_default();
-            job.ended = at;
+            job.ended_at = at;
         }
         Some(event::ORDERED) => job.orders.push(Order { at, task, answered: text("outcome") == "Started" }),
         Some(event::ADVICE) => {
             let took = event["took_ms"].as_f64().unwrap_or_default();
-            job.questions.push(Question { asked: at - took, answered: at });
+            job.advice_requests.push(AdviceRequest { sent_at: at - took, answered_at: at });
         }
-        Some(event::RUN_ENDED) => job.ends.push(End { at, task, how: text("how").to_owned() }),
+        Some(event::RUN_ENDED) => job.run_ends.push(RunEnd { at, task, how: text("how").to_owned() }),
         _ => {}
     }
 }
 
-/// A time of day in milliseconds since 1970.
-fn millis(text: &str) -> Option<f64> {
+/// Converts an RFC 3339 time to milliseconds since 1970.
+fn unix_millis(text: &str) -> Option<f64> {
     let time = humantime::parse_rfc3339(text).ok()?;
     let since = time.duration_since(std::time::UNIX_EPOCH).ok()?;
     Some(since.as_secs_f64() * 1000.0)
 }
 
-/// The jobs by queue. Of a job without an end only its refusals are known, and not its queue.
-fn rows(jobs: impl Iterator<Item = Job>) -> Vec<Row> {
+/// Summarizes the jobs by queue. Only the event at the end of a job names its queue, so the refusals of jobs that have
+/// not ended are counted in a row of their own.
+fn rows_by_queue(jobs: impl Iterator<Item = JobRecord>) -> Vec<Row> {
     let mut rows: BTreeMap<String, Row> = BTreeMap::new();
-    let mut waits: BTreeMap<String, Vec<f64>> = BTreeMap::new();
+    let mut start_delays: BTreeMap<String, Vec<f64>> = BTreeMap::new();
     for job in jobs {
         let row = rows.entry(job.queue.clone()).or_default();
         row.queue = if job.queue.is_empty() { "not ended".to_owned() } else { job.queue.clone() };
@@ -171,52 +174,52 @@
         match job.outcome.as_deref() {
             Some("Completed") => {
                 row.completed += 1;
-                waits.entry(job.queue.clone()).or_default().push(job.first_start() - job.accepted());
+                start_delays.entry(job.queue.clone()).or_default().push(job.first_start_at() - job.accepted_at());
             }
             Some("Failed") => row.failed += 1,
             Some("Cancelled") => row.cancelled += 1,
             _ => {}
         }
-        if job.outcome.as_deref() == Some("Completed") && job.took > job.objective {
+        if job.outcome.as_deref() == Some("Completed") && job.duration > job.objective {
             row.late += 1;
-            *row.by(cause(&job)) += 1;
+            *row.late_count(main_cause(&job)) += 1;
         }
     }
-    for (queue, mut waits) in waits {
-        waits.sort_by(f64::total_cmp);
+    for (queue, mut start_delays) in start_delays {
+        start_delays.sort_by(f64::total_cmp);
         if let Some(row) = rows.get_mut(&queue) {
-            row.first_start_p50_ms = quantile(&waits, 0.5);
-            row.first_start_p95_ms = quantile(&waits, 0.95);
+            row.first_start_p50_ms = quantile(&start_delays, 0.5);
+            row.first_start_p95_ms = quantile(&start_delays, 0.95);
         }
     }
     rows.into_values().collect()
 }
 
-/// The value below which so many of the sorted ones lie, rounded.
+/// The rounded value at a quantile of sorted values, 0 if there are none.
 fn quantile(sorted: &[f64], share: f64) -> u64 {
     let index = (sorted.len() as f64 * share) as usize;
     sorted.get(index.min(sorted.len().saturating_sub(1))).map_or(0, |value| value.max(0.0).round() as u64)
 }
 
-impl Job {
-    fn accepted(&self) -> f64 {
-        self.ended - self.took
+impl JobRecord {
+    fn accepted_at(&self) -> f64 {
+        self.ended_at - self.duration
     }
 
-    /// When its first task was started, or its end.
-    fn first_start(&self) -> f64 {
-        self.orders.iter().map(|order| order.at).fold(self.ended, f64::min)
+    /// Time of its first start order, or of its end if there was none.
+    fn first_start_at(&self) -> f64 {
+        self.orders.iter().map(|order| order.at).fold(self.ended_at, f64::min)
     }
 
-    /// How long before its first start a question was under way.
-    fn asking(&self) -> f64 {
-        let (accepted, first) = (self.accepted(), self.first_start());
-        let mut questions: Vec<&Question> = self.questions.iter().collect();
-        questions.sort_by(|a, b| a.asked.total_cmp(&b.asked));
+    /// Time before the first start during which at least one request to the adviser was in progress.
+    fn advice_time(&self) -> f64 {
+        let (accepted, first) = (self.accepted_at(), self.first_start_at());
+        let mut advice_requests: Vec<&AdviceRequest> = self.advice_requests.iter().collect();
+        advice_requests.sort_by(|a, b| a.sent_at.total_cmp(&b.sent_at));
         let mut covered = accepted;
         let mut sum = 0.0;
-        for question in questions {
-            let (from, until) = (question.asked.max(covered), question.answered.min(first));
+        for request in advice_requests {
+            let (from, until) = (request.sent_at.max(covered), request.answered_at.min(first));
             sum += (until - from).max(0.0);
             covered = covered.max(until);
         }
@@ -225,7 +228,7 @@
 }
 
 impl Row {
-    fn by(&mut self, cause: Cause) -> &mut u64 {
+    fn late_count(&mut self, cause: Cause) -> &mut u64 {
         match cause {
             Cause::Waiting => &mut self.waiting,
             Cause::Advice => &mut self.advice,
@@ -237,32 +240,34 @@
     }
 }
 
-/// What most of a job's time beyond its useful runs went on; if nothing stands out, the runs themselves took long.
-fn cause(job: &Job) -> Cause {
-    let accepted = job.accepted();
-    let waited = job.first_start() - accepted;
-    let asking = job.asking();
-    let mut spent = BTreeMap::from([(Cause::Waiting, waited - asking), (Cause::Advice, asking)]);
+/// The cause that took most of a late job's time apart from its successful runs. If no cause exceeds the minimum share,
+/// the runs themselves took too long.
+fn main_cause(job: &JobRecord) -> Cause {
+    let accepted = job.accepted_at();
+    let start_delay = job.first_start_at() - accepted;
+    let advice_time = job.advice_time();
+    let mut time_by_cause = BTreeMap::from([(Cause::Waiting, start_delay - advice_time), (Cause::Advice, advice_time)]);
     for order in job.orders.iter().filter(|order| !order.answered) {
-        *spent.entry(Cause::LostOrder).or_default() += next_start(job, &order.task, order.at) - order.at;
+        *time_by_cause.entry(Cause::LostOrder).or_default() += next_start_at(job, &order.task, order.at) - order.at;
     }
-    for end in &job.ends {
+    for end in &job.run_ends {
         let cause = match end.how.as_str() {
             "Done" => continue,
             "Failed" => Cause::FailedRun,
             _ => Cause::Interrupted,
         };
-        // What was lost is the run so far and the wait for the next one.
-        let began = job.orders.iter().filter(|order| order.task == end.task && order.at < end.at);
-        let began = began.map(|order| order.at).fold(f64::NEG_INFINITY, f64::max);
-        *spent.entry(cause).or_default() += next_start(job, &end.task, end.at) - began.max(accepted);
+        // The time lost is that of the run so far and the wait for the next one.
+        let started_at = job.orders.iter().filter(|order| order.task == end.task && order.at < end.at);
+        let started_at = started_at.map(|order| order.at).fold(f64::NEG_INFINITY, f64::max);
+        *time_by_cause.entry(cause).or_default() += next_start_at(job, &end.task, end.at) - started_at.max(accepted);
     }
-    let (cause, most) = spent.into_iter().max_by(|a, b| a.1.total_cmp(&b.1)).unwrap_or((Cause::Running, 0.0));
-    if most > NOTABLE * (job.took - job.objective) { cause } else { Cause::Running }
+    let (cause, longest) =
+        time_by_cause.into_iter().max_by(|a, b| a.1.total_cmp(&b.1)).unwrap_or((Cause::Running, 0.0));
+    if longest > MIN_CAUSE_SHARE * (job.duration - job.objective) { cause } else { Cause::Running }
 }
 
-/// When a task was next started after `at`, or the job's end.
-fn next_start(job: &Job, task: &str, at: f64) -> f64 {
-    let later = job.orders.iter().filter(|order| order.task == task && order.at > at && order.answered);
-    later.map(|order| order.at).fold(job.ended, f64::min)
+/// Time of the next answered start order of a task after `at`, or of the job's end if there is none.
+fn next_start_at(job: &JobRecord, task: &str, at: f64) -> f64 {
+    let later_starts = job.orders.iter().filter(|order| order.task == task && order.at > at && order.answered);
+    later_starts.map(|order| order.at).fold(job.ended_at, f64::min)
 }
--- a/bins/walkhook/src/cli.rs
+++ b/bins/walkhook/src/cli.rs
@@ -1,4 +1,4 @@
-//! The arguments of `walkhook`.
+//! The command line arguments of `walkhook`.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -6,12 +6,12 @@
 
 use argh::FromArgs;
 
-/// How outcomes are printed.
+/// Output format of outcomes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Tables for a person.
+    /// Tables for people.
     Table,
-    /// One JSON object a statement.
+    /// One JSON object per statement.
     Json,
 }
 
@@ -27,12 +27,13 @@
     }
 }
 
-/// Ask and command a walkhook cell. Statements are separated by `;`, for example: show tasks where team = rail
+/// Query and control a walkhook cell. Statements are separated by `;`, for example: show tasks where team = rail
 ///
-/// For callers' jobs: job why ID, job submit ID FILE, job cancel ID, queues, workspaces, host. To join the logs of several hosts
-/// by the id of a job or request: log ID FILE... To count late jobs by what their time went on: account FILE...
+/// For callers' jobs: job why ID, job submit ID FILE, job cancel ID, queues, workspaces, host. To join the logs of
+/// several hosts by the id of a job or request: log ID FILE... To count late jobs by the cause of their delay:
+/// account FILE...
 ///
-/// Exit codes: 0 done, 1 not done, 2 a mistake in the arguments or statements (nothing was sent), 3 unknown.
+/// Exit codes: 0 done, 1 not done, 2 an error in the arguments or statements (nothing was sent), 3 unknown.
 #[derive(FromArgs, Debug)]
 pub struct Cli {
     /// operators' address of an entry host; repeat it to name others that are tried when one is gone
--- a/bins/walkhook/src/main.rs
+++ b/bins/walkhook/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command line client.
+//! `walkhook`, the command line client for operators.
 
 mod account;
 mod cli;
@@ -17,26 +17,26 @@
 use client::Client;
 use query::Statement;
 
-const MISTAKE: u8 = 2;
+const INVALID_INPUT: u8 = 2;
 
 fn main() -> ExitCode {
     let cli: Cli = argh::from_env();
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(fault) => return mistake(&fault.into()),
+        Err(fault) => return report_error(&fault.into()),
     };
     match runtime.block_on(run(&cli)) {
-        Ok(status) => ExitCode::from(code(status)),
-        Err(fault) => mistake(&fault),
+        Ok(status) => ExitCode::from(exit_code(status)),
+        Err(fault) => report_error(&fault),
     }
 }
 
-fn mistake(fault: &anyhow::Error) -> ExitCode {
+fn report_error(fault: &anyhow::Error) -> ExitCode {
     eprintln!("{fault:#}");
-    ExitCode::from(MISTAKE)
+    ExitCode::from(INVALID_INPUT)
 }
 
-fn code(status: Status) -> u8 {
+fn exit_code(status: Status) -> u8 {
     match status {
         Status::Done => 0,
         Status::NotDone => 1,
@@ -44,7 +44,7 @@
     }
 }
 
-/// Checks all statements before the first is sent; stops at the first that is not done.
+/// Checks all statements before it sends the first, and stops at the first one that is not done.
 async fn run(cli: &Cli) -> Result<Status> {
     if let Some((id, files)) = log::command(&cli.statement)? {
         log::run(&id, &files, cli.output)?;
@@ -57,13 +57,13 @@
     if let Some(command) = job::command(&cli.statement)? {
         return job::run(cli, command).await;
     }
-    let script = script(cli)?;
+    let script = read_script(cli)?;
     let statements = query::parse(&script)?;
     if statements.is_empty() {
         bail!("no statement; for example: walkhook --entry 127.0.0.1:8081 show hosts");
     }
-    let texts = split(&script, statements.len())?;
-    let plans = plans(&statements)?;
+    let texts = split_statements(&script, statements.len())?;
+    let plans = read_plans(&statements)?;
     let client = Client::new(cli)?;
     for ((statement, text), plan) in statements.iter().zip(texts).zip(plans) {
         let outcome = client.execute(text, plan.clone()).await;
@@ -80,7 +80,7 @@
     Ok(Status::Done)
 }
 
-fn script(cli: &Cli) -> Result<String> {
+fn read_script(cli: &Cli) -> Result<String> {
     let Some(file) = &cli.file else { return Ok(cli.statement.join(" ")) };
     if !cli.statement.is_empty() {
         bail!("give statements either as arguments or by --file, not both");
@@ -93,29 +93,31 @@
     std::fs::read_to_string(file).with_context(|| format!("{}: can't be read", file.display()))
 }
 
-/// The text of each statement. A `;` within quotes does not separate.
-fn split(script: &str, count: usize) -> Result<Vec<&str>> {
-    let mut quoted = false;
-    let mut comment = false;
-    let ends_here = |c: char| {
+/// Splits a script into the texts of its statements. A `;` within quotes or a comment does not separate statements.
+fn split_statements(script: &str, count: usize) -> Result<Vec<&str>> {
+    let mut in_quotes = false;
+    let mut in_comment = false;
+    let is_separator = |c: char| {
         match c {
-            '"' if !comment => quoted = !quoted,
-            '#' if !quoted => comment = true,
-            '\n' => comment = false,
+            '"' if !in_comment => in_quotes = !in_quotes,
+            '#' if !in_quotes => in_comment = true,
+            '\n' => in_comment = false,
             _ => {}
         }
-        c == ';' && !quoted && !comment
+        c == ';' && !in_quotes && !in_comment
     };
-    let parts: Vec<&str> =
-        script.split(ends_here).filter(|part| query::parse(part).is_ok_and(|one| one.len() == 1)).collect();
+    let parts: Vec<&str> = script
+        .split(is_separator)
+        .filter(|part| query::parse(part).is_ok_and(|statements| statements.len() == 1))
+        .collect();
     if parts.len() != count {
-        bail!("statements can't be told apart; give them one by one");
+        bail!("the statements can't be separated; give them one by one");
     }
     Ok(parts)
 }
 
-/// The plan files that the statements name, read before anything is sent.
-fn plans(statements: &[Statement]) -> Result<Vec<Option<String>>> {
+/// Reads and checks the plan files that the statements name. `None` stands for a statement without one.
+fn read_plans(statements: &[Statement]) -> Result<Vec<Option<String>>> {
     let mut plans = Vec::with_capacity(statements.len());
     for statement in statements {
         let Statement::Submit { plan } = statement else {
--- a/bins/walkhook/src/print.rs
+++ b/bins/walkhook/src/print.rs
@@ -1,4 +1,4 @@
-//! Prints outcomes.
+//! Prints outcomes and answers.
 
 use api::{Outcome, Rows, Status};
 use tabled::builder::Builder;
@@ -9,11 +9,11 @@
 pub(crate) fn outcome(outcome: &Outcome, output: Output) {
     match output {
         Output::Json => println!("{}", serde_json::to_string(outcome).unwrap_or_default()),
-        Output::Table => person(outcome),
+        Output::Table => print_text(outcome),
     }
 }
 
-/// Prints what an entry host told of callers' jobs; nothing for an answer without content.
+/// Prints an entry host's answer about callers' jobs, or `done` if it has no content.
 pub(crate) fn value(value: &serde_json::Value, output: Output) {
     match (value, output) {
         (serde_json::Value::Null, _) => println!("done"),
@@ -22,18 +22,18 @@
     }
 }
 
-fn person(outcome: &Outcome) {
+fn print_text(outcome: &Outcome) {
     if let Some(table) = &outcome.table {
-        println!("{}", shown(table));
+        println!("{}", format_table(table));
     }
-    let words = match outcome.status {
+    let status = match outcome.status {
         Status::Done if outcome.table.is_some() => return,
         Status::Done => "done",
         Status::NotDone => "not done",
         Status::Unknown => "unknown",
     };
     let revision = outcome.revision.map(|revision| format!(" (revision {revision})")).unwrap_or_default();
-    let line = format!("{words}: {}{revision}", outcome.message);
+    let line = format!("{status}: {}{revision}", outcome.message);
     if outcome.status == Status::Done {
         println!("{line}");
     } else {
@@ -44,12 +44,12 @@
     }
 }
 
-/// Prints rows that were made for people.
+/// Prints rows as a text table.
 pub(crate) fn table(table: &Rows) {
-    println!("{}", shown(table));
+    println!("{}", format_table(table));
 }
 
-fn shown(table: &Rows) -> String {
+fn format_table(table: &Rows) -> String {
     if table.rows.is_empty() {
         return format!("no rows ({})", table.columns.join(", "));
     }
--- a/bins/walkhook/src/wait.rs
+++ b/bins/walkhook/src/wait.rs
@@ -1,4 +1,4 @@
-//! Shows the progress of submitted work.
+//! Shows the progress of submitted workloads.
 
 use std::collections::BTreeMap;
 use std::io::{IsTerminal, Write};
@@ -10,7 +10,7 @@
 
 use crate::client::Client;
 
-const LOOK: Duration = Duration::from_millis(300);
+const POLL_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Waits until every task of the plan's workloads runs (services) or has finished (other work).
 pub(crate) async fn until_settled(client: &Client, plan: &str) -> Result<()> {
@@ -21,29 +21,29 @@
 }
 
 async fn wait_for(client: &Client, workload: &Workload) -> Result<()> {
-    let goal = if workload.kind == Kind::Service { "running" } else { "finished" };
-    let mut last = String::new();
+    let target_state = if workload.kind == Kind::Service { "running" } else { "finished" };
+    let mut last_line = String::new();
     loop {
         let outcome = client.execute("show tasks", None).await;
         if outcome.status != Status::Done {
-            bail!("can't follow {}: {}", workload.name, outcome.message);
+            bail!("can't show the progress of {}: {}", workload.name, outcome.message);
         }
-        let counts = counts(&outcome, &workload.name);
-        let line = shown(&workload.name, &counts);
-        if line != last {
-            progress(&line);
-            last = line;
+        let counts = count_by_state(&outcome, &workload.name);
+        let line = status_line(&workload.name, &counts);
+        if line != last_line {
+            print_progress(&line);
+            last_line = line;
         }
-        if counts.get(goal).copied().unwrap_or(0) >= workload.instances {
-            progress_end();
+        if counts.get(target_state).copied().unwrap_or(0) >= workload.instances {
+            end_progress();
             return Ok(());
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Tasks of a workload by state.
-fn counts(outcome: &Outcome, workload: &str) -> BTreeMap<String, u32> {
+/// Counts the tasks of a workload by state.
+fn count_by_state(outcome: &Outcome, workload: &str) -> BTreeMap<String, u32> {
     let mut counts = BTreeMap::new();
     for row in outcome.table.iter().flat_map(|table| &table.rows) {
         let [task, _, _, state, ..] = row.as_slice() else { continue };
@@ -55,13 +55,13 @@
     counts
 }
 
-fn shown(workload: &str, counts: &BTreeMap<String, u32>) -> String {
+fn status_line(workload: &str, counts: &BTreeMap<String, u32>) -> String {
     let parts: Vec<String> = counts.iter().map(|(state, count)| format!("{count} {state}")).collect();
     format!("{workload}: {}", parts.join(", "))
 }
 
-/// On a terminal one line that changes, else a line each time.
-fn progress(line: &str) {
+/// Prints the progress: on a terminal it overwrites the line, otherwise it adds a line.
+fn print_progress(line: &str) {
     let mut out = std::io::stderr();
     if out.is_terminal() {
         let _ = write!(out, "\r\x1b[K{line}");
@@ -71,7 +71,7 @@
     }
 }
 
-fn progress_end() {
+fn end_progress() {
     if std::io::stderr().is_terminal() {
         eprintln!();
     }
--- a/bins/walkhook/tests/account.rs
+++ b/bins/walkhook/tests/account.rs
@@ -1,15 +1,15 @@
-//! What the time of late jobs went on, from logs.
+//! The causes of the delay of late jobs, from logs.
 
 use std::process::Command;
 
-/// A line of a log at this second of a day.
+/// A log line with a timestamp in the given second.
 fn line(second: f64, event: u64, fields: &str) -> String {
     format!(
         r#"{{"ts":"2026-01-01T00:00:{second:06.3}Z","host":"h","msg":"m","level":"INFO","event":{event},{fields}}}"#
     )
 }
 
-fn ended(second: f64, job: &str, took_ms: u64) -> String {
+fn job_ended(second: f64, job: &str, took_ms: u64) -> String {
     let fields = r#""outcome":"Completed","queue":"checks","objective_ms":1000"#;
     line(second, 612, &format!(r#""job":"{job}","took_ms":{took_ms},{fields}"#))
 }
@@ -18,7 +18,7 @@
     line(second, 613, &format!(r#""task":"{task}","outcome":"{outcome}""#))
 }
 
-fn asked(second: f64, unit: &str, took_ms: u64) -> String {
+fn advised(second: f64, unit: &str, took_ms: u64) -> String {
     line(second, 616, &format!(r#""unit":"{unit}","took_ms":{took_ms}"#))
 }
 
@@ -27,49 +27,49 @@
 }
 
 #[test]
-fn late_jobs_are_counted_by_what_their_time_went_on() {
+fn late_jobs_are_counted_by_the_cause_of_their_delay() {
     let lines = [
         "not a line of ours".to_owned(),
-        // In time.
+        // On time.
         ordered(1.0, "a1.0.0.0", "Started"),
         run_ended(1.8, "a1.0.0.0", "Done"),
-        ended(1.8, "a1", 900),
-        // Waited for its first start.
+        job_ended(1.8, "a1", 900),
+        // Delayed by the wait for its first start.
         ordered(4.0, "a2.0.0.0", "Started"),
         run_ended(4.5, "a2.0.0.0", "Done"),
-        ended(4.5, "a2", 2500),
-        // An order without an answer.
+        job_ended(4.5, "a2", 2500),
+        // Delayed by a start order without an answer.
         ordered(5.0, "a3.0.0.0", "Unknown"),
         ordered(6.5, "a3.0.0.0", "Started"),
         run_ended(7.0, "a3.0.0.0", "Done"),
-        ended(7.0, "a3", 2050),
-        // A run that failed.
+        job_ended(7.0, "a3", 2050),
+        // Delayed by a failed run.
         ordered(8.0, "a4.0.0.0", "Started"),
         run_ended(8.9, "a4.0.0.0", "Failed"),
         ordered(9.0, "a4.0.0.0", "Started"),
         run_ended(9.5, "a4.0.0.0", "Done"),
-        ended(9.5, "a4", 1550),
-        // Its runs took long.
+        job_ended(9.5, "a4", 1550),
+        // Its run took too long.
         ordered(10.0, "a5.0.0.0", "Started"),
         run_ended(12.0, "a5.0.0.0", "Done"),
-        ended(12.0, "a5", 2050),
+        job_ended(12.0, "a5", 2050),
         line(13.0, 611, r#""job":"a6""#),
-        // Two questions at once, and one after them, before its first start.
-        asked(15.0, "a7.0.0", 900),
-        asked(15.1, "a7.0.0", 1000),
-        asked(16.0, "a7.0.0", 500),
+        // Delayed by two concurrent requests to the adviser and a later one, all before its first start.
+        advised(15.0, "a7.0.0", 900),
+        advised(15.1, "a7.0.0", 1000),
+        advised(16.0, "a7.0.0", 500),
         ordered(16.0, "a7.0.0.0", "Started"),
         run_ended(16.5, "a7.0.0.0", "Done"),
-        ended(16.5, "a7", 2500),
+        job_ended(16.5, "a7", 2500),
     ];
-    let folder = tempfile::tempdir().expect("a folder");
-    let path = folder.path().join("host.log");
+    let directory = tempfile::tempdir().expect("a temporary directory");
+    let path = directory.path().join("host.log");
     std::fs::write(&path, lines.join("\n")).expect("written");
     let output = Command::new(env!("CARGO_BIN_EXE_walkhook"))
         .args(["--output", "json", "account"])
         .arg(&path)
         .output()
-        .expect("it runs");
+        .expect("walkhook runs");
     let rows: serde_json::Value = serde_json::from_slice(&output.stdout).expect("JSON");
     let checks = &rows[1];
     assert_eq!(rows[0]["refusals"], 1, "{rows}");
--- a/bins/walkhook/tests/cli.rs
+++ b/bins/walkhook/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The client at the terminal: exit codes, mistakes shown with their place, and lost answers asked after.
+//! The command line client: exit codes, positions of syntax errors, and the lookup of outcomes whose answers were lost.
 
 use std::net::SocketAddr;
 use std::process::Output;
@@ -11,24 +11,24 @@
 
 const KEY: &str = "a shared key of a test cell";
 
-/// An entry host that notes what it is asked.
+/// A fake entry host that records its calls.
 #[derive(Default)]
-struct Double {
+struct FakeEntryHost {
     executed: Mutex<Vec<Command>>,
-    asked: Mutex<Vec<Uuid>>,
-    /// What it says to a command.
-    says: Mutex<Option<Outcome>>,
+    lookups: Mutex<Vec<Uuid>>,
+    /// Its answer to a command; by default, the command is done.
+    answer: Mutex<Option<Outcome>>,
 }
 
 #[async_trait]
-impl Operators for Double {
+impl Operators for FakeEntryHost {
     async fn execute(&self, command: Command) -> Outcome {
         self.executed.lock().push(command);
-        self.says.lock().clone().unwrap_or_else(|| Outcome::done("accepted"))
+        self.answer.lock().clone().unwrap_or_else(|| Outcome::done("accepted"))
     }
 
     async fn outcome(&self, command: Uuid) -> Outcome {
-        self.asked.lock().push(command);
+        self.lookups.lock().push(command);
         Outcome::done("it was carried out")
     }
 
@@ -45,79 +45,87 @@
     }
 }
 
-fn start(double: &Arc<Double>) -> dropshot::HttpServer<Arc<dyn Operators>> {
-    let operators: Arc<dyn Operators> = double.clone();
+fn start(fake: &Arc<FakeEntryHost>) -> dropshot::HttpServer<Arc<dyn Operators>> {
+    let operators: Arc<dyn Operators> = fake.clone();
     api::start(SocketAddr::from(([127, 0, 0, 1], 0)), operators, &events::silent()).expect("a free port")
 }
 
 async fn walkhook(arguments: &[&str]) -> Output {
     let mut command = tokio::process::Command::new(env!("CARGO_BIN_EXE_walkhook"));
-    command.args(arguments).env("WALKHOOK_KEY", KEY).output().await.expect("it runs")
+    command.args(arguments).env("WALKHOOK_KEY", KEY).output().await.expect("walkhook runs")
 }
 
-fn said(output: &Output) -> String {
+fn output_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr)
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_mistake_shows_its_place_and_nothing_is_sent() {
-    let double = Arc::new(Double::default());
-    let server = start(&double);
+async fn a_syntax_error_shows_its_position_and_nothing_is_sent() {
+    let fake = Arc::new(FakeEntryHost::default());
+    let server = start(&fake);
     let entry = server.local_addr().to_string();
     let output = walkhook(&["--entry", &entry, "drain worker w-1; cancel worklod menus"]).await;
     assert_eq!(output.status.code(), Some(2));
-    assert!(said(&output).contains("^---") && said(&output).contains("expected"), "{}", said(&output));
-    assert!(double.executed.lock().is_empty());
+    assert!(
+        output_text(&output).contains("^---") && output_text(&output).contains("expected"),
+        "{}",
+        output_text(&output)
+    );
+    assert!(fake.executed.lock().is_empty());
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_next_entry_is_tried_when_one_is_gone() {
-    let double = Arc::new(Double::default());
-    let server = start(&double);
-    let gone = std::net::TcpListener::bind(("127.0.0.1", 0)).unwrap().local_addr().unwrap().to_string();
+async fn the_next_entry_host_is_tried_when_one_is_unreachable() {
+    let fake = Arc::new(FakeEntryHost::default());
+    let server = start(&fake);
+    let unreachable = std::net::TcpListener::bind(("127.0.0.1", 0)).unwrap().local_addr().unwrap().to_string();
     let entry = server.local_addr().to_string();
-    let output = walkhook(&["--entry", &gone, "--entry", &entry, "drain worker w-1"]).await;
-    assert_eq!(output.status.code(), Some(0), "{}", said(&output));
-    assert_eq!(double.executed.lock().len(), 1);
+    let output = walkhook(&["--entry", &unreachable, "--entry", &entry, "drain worker w-1"]).await;
+    assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
+    assert_eq!(fake.executed.lock().len(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_unknown_outcome_is_asked_after_and_the_command_never_sent_twice() {
-    let double = Arc::new(Double::default());
-    *double.says.lock() = Some(Outcome::unknown("the platform did not answer"));
-    let server = start(&double);
+async fn an_unknown_outcome_is_looked_up_and_the_command_is_sent_only_once() {
+    let fake = Arc::new(FakeEntryHost::default());
+    *fake.answer.lock() = Some(Outcome::unknown("the platform did not answer"));
+    let server = start(&fake);
     let entry = server.local_addr().to_string();
     let output = walkhook(&["--entry", &entry, "--entry", &entry, "cancel workload menus"]).await;
-    assert_eq!(output.status.code(), Some(0), "{}", said(&output));
-    let executed = double.executed.lock();
+    assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
+    let executed = fake.executed.lock();
     assert_eq!(executed.len(), 1);
-    assert_eq!(*double.asked.lock(), [executed[0].command]);
+    assert_eq!(*fake.lookups.lock(), [executed[0].command]);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn not_done_and_nobody_there_are_told_by_the_exit_code() {
-    let double = Arc::new(Double::default());
-    *double.says.lock() = Some(Outcome::not_done("no workload `menus`"));
-    let server = start(&double);
+async fn the_exit_code_tells_commands_not_done_and_unreachable_hosts() {
+    let fake = Arc::new(FakeEntryHost::default());
+    *fake.answer.lock() = Some(Outcome::not_done("no workload `menus`"));
+    let server = start(&fake);
     let entry = server.local_addr().to_string();
     let output = walkhook(&["--entry", &entry, "cancel workload menus"]).await;
     assert_eq!(output.status.code(), Some(1));
-    assert!(said(&output).contains("no workload `menus`"));
-    let gone = std::net::TcpListener::bind(("127.0.0.1", 0)).unwrap().local_addr().unwrap().to_string();
-    assert_eq!(walkhook(&["--entry", &gone, "show hosts"]).await.status.code(), Some(1));
+    assert!(output_text(&output).contains("no workload `menus`"));
+    let unreachable = std::net::TcpListener::bind(("127.0.0.1", 0)).unwrap().local_addr().unwrap().to_string();
+    assert_eq!(walkhook(&["--entry", &unreachable, "show hosts"]).await.status.code(), Some(1));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_plan_is_checked_before_anything_is_sent() {
-    let double = Arc::new(Double::default());
-    let server = start(&double);
+    let fake = Arc::new(FakeEntryHost::default());
+    let server = start(&fake);
     let entry = server.local_addr().to_string();
-    let folder = tempfile::tempdir().unwrap();
-    let plan = folder.path().join("plan.yaml");
+    let directory = tempfile::tempdir().unwrap();
+    let plan = directory.path().join("plan.yaml");
     let text = "workloads:\n  - { name: a, team: t, kind: batch, each: { processors: 1, memory: 12 }, run: r }\n";
     std::fs::write(&plan, text).unwrap();
     let output = walkhook(&["--entry", &entry, &format!("drain worker w; submit {}", plan.display())]).await;
     assert_eq!(output.status.code(), Some(2));
-    assert!(said(&output).contains("workload a: each.memory: `12` is not a size with a unit"), "{}", said(&output));
-    assert!(double.executed.lock().is_empty());
+    assert!(
+        output_text(&output).contains("workload a: each.memory: `12` is not a size with a unit"),
+        "{}",
+        output_text(&output)
+    );
+    assert!(fake.executed.lock().is_empty());
 }
