--- a/bins/walkhook/tests/cli.rs
+++ b/bins/walkhook/tests/cli.rs
@@ -4,7 +4,7 @@
 use std::process::Output;
 use std::sync::Arc;
 
-use api::{Command, Health, Operators, Outcome};
+use api::{Command, Health, OperatorHandler, Outcome};
 use async_trait::async_trait;
 use parking_lot::Mutex;
 use uuid::Uuid;
@@ -21,7 +21,7 @@
 }
 
 #[async_trait]
-impl Operators for FakeEntryHost {
+impl OperatorHandler for FakeEntryHost {
     async fn execute(&self, command: Command) -> Outcome {
         self.executed.lock().push(command);
         self.answer.lock().clone().unwrap_or_else(|| Outcome::done("accepted"))
@@ -45,8 +45,8 @@
     }
 }
 
-fn start(fake: &Arc<FakeEntryHost>) -> dropshot::HttpServer<Arc<dyn Operators>> {
-    let operators: Arc<dyn Operators> = fake.clone();
+fn start(fake: &Arc<FakeEntryHost>) -> dropshot::HttpServer<Arc<dyn OperatorHandler>> {
+    let operators: Arc<dyn OperatorHandler> = fake.clone();
     api::start(SocketAddr::from(([127, 0, 0, 1], 0)), operators, &events::silent()).expect("a free port")
 }
 
--- a/components/fakes/src/cell.rs
+++ b/components/fakes/src/cell.rs
@@ -254,7 +254,7 @@
             adviser: Some(host_view.clone()),
             clock: clock::Clock::new(move || cell.host_time(&host_name)),
         };
-        let host = entry::Host::new(settings, services, events::silent(), metrics::Jobs::default());
+        let host = entry::Host::new(settings, services, events::silent(), metrics::JobMetrics::default());
         entry::spawn(&host, listener);
         Ok(host)
     }
