--- a/components/fakes/src/cell.rs
+++ b/components/fakes/src/cell.rs
@@ -375,10 +375,10 @@
         self.wait_for_change(revision, wait).await
     }
 
-    async fn commit(&self, transaction: &Transaction, patience: Duration) -> Result<CommitOutcome, ServiceError> {
+    async fn commit(&self, transaction: &Transaction, timeout: Duration) -> Result<CommitOutcome, ServiceError> {
         if self.take_dropped_commit() {
             let unanswered = UnansweredCommit(&self.cell);
-            tokio::time::sleep(patience).await;
+            tokio::time::sleep(timeout).await;
             std::mem::forget(unanswered);
             return Err(ServiceError::Unknown("the transaction was dropped".to_owned()));
         }
@@ -393,8 +393,8 @@
             Ok(commit)
         })?;
         let delay = *self.cell.commit_delay.lock();
-        tokio::time::sleep(delay.min(patience)).await;
-        if delay > patience { Err(ServiceError::Unknown("the answer came too late".to_owned())) } else { committed }
+        tokio::time::sleep(delay.min(timeout)).await;
+        if delay > timeout { Err(ServiceError::Unknown("the answer came too late".to_owned())) } else { committed }
     }
 
     async fn grant_lease(&self, ttl: Duration) -> Result<LeaseId, ServiceError> {
--- a/components/fakes/src/cell/workers.rs
+++ b/components/fakes/src/cell/workers.rs
@@ -91,7 +91,7 @@
         })
     }
 
-    async fn start(&self, target: &Target, order: &Order, _patience: Duration) -> Result<Reply<()>, ServiceError> {
+    async fn start(&self, target: &Target, order: &Order, _timeout: Duration) -> Result<Reply<()>, ServiceError> {
         let Order { term, until, start } = order;
         self.cell.spend_cpu_time();
         self.delay_start(&target.id).await;
