--- a/bins/walkhook/src/client.rs
+++ b/bins/walkhook/src/client.rs
@@ -7,7 +7,7 @@
 use anyhow::{Context, Result, bail};
 use api::{Command, Outcome, Status};
 use uuid::Uuid;
-use web::Fault;
+use web::ClientError;
 
 use crate::cli::Cli;
 
@@ -52,8 +52,8 @@
             match self.http.post::<_, Outcome>(&url, &command).await {
                 Ok(outcome) if outcome.status == Status::Unknown => return self.poll_outcome(command.command).await,
                 Ok(outcome) => return outcome,
-                Err(Fault::NotSent(reason)) => last_error = format!("{entry}: {reason}"),
-                Err(Fault::Status { status, body }) if status.is_client_error() => {
+                Err(ClientError::NotSent(reason)) => last_error = format!("{entry}: {reason}"),
+                Err(ClientError::Status { status, body }) if status.is_client_error() => {
                     return Outcome::not_done(format!("{entry}: {status}: {body}"));
                 }
                 Err(_) => return self.poll_outcome(command.command).await,
--- a/bins/walkhookd/tests/callers.rs
+++ b/bins/walkhookd/tests/callers.rs
@@ -86,15 +86,15 @@
             responses
         }));
     }
-    let mut all = BTreeMap::new();
+    let mut responses = BTreeMap::new();
     for task in tasks {
-        all.extend(task.await.expect("the task did not panic"));
+        responses.extend(task.await.expect("the task did not panic"));
     }
-    all
+    responses
 }
 
-/// Asserts that the responses agree with what the backend servers ran: no key ran twice, all answers to a key are equal,
-/// and the outcome "not-run" comes last only for keys that never ran.
+/// Asserts that the responses agree with what the backend servers ran: no key ran twice, all answers to a key are
+/// equal, and the last outcome of a key is "not-run" only if it never ran.
 fn assert_responses_match_runs(cell: &Cell, responses: &BTreeMap<String, Vec<Response>>) {
     let runs = cell.runs_by_key();
     for (key, responses) in responses {
@@ -382,7 +382,7 @@
     let command = api::Command { statement: "show hosts".to_owned(), command: Uuid::new_v4(), plan: None };
     let url = format!("http://{}/v1/statements", cell.hosts[0].operators);
     let refused = http.post::<_, api::Outcome>(&url, &command).await;
-    assert!(matches!(refused, Err(web::Fault::Status { status, .. }) if status.as_u16() == 401), "{refused:?}");
+    assert!(matches!(refused, Err(web::ClientError::Status { status, .. }) if status.as_u16() == 401), "{refused:?}");
     let response = send_raw(
         cell.hosts[0].relay,
         b"GET /slots/1 HTTP/1.1\r\nhost: a\r\nconnection: close\r\nx-walkhook-hops: 1\r\n\r\n",
