--- a/bins/walkhookd/tests/support/mod.rs
+++ b/bins/walkhookd/tests/support/mod.rs
@@ -12,7 +12,7 @@
 use api::{Outcome, Status};
 use argh::FromArgs;
 use bytes::Bytes;
-use fakes::{Door, Platform, Worker, any_port};
+use fakes::{Endpoint, Platform, Worker, any_port};
 use http::{Method, Request};
 use http_body_util::{BodyExt, Full};
 use hyper_util::client::legacy::Client;
@@ -194,7 +194,7 @@
         platform: Platform,
         layout: &[Layout],
         timings: &str,
-        doors: &BTreeMap<&str, Door>,
+        doors: &BTreeMap<&str, Endpoint>,
     ) -> Cell {
         let directory = tempfile::tempdir().expect("a temporary directory");
         let mut cell = Cell {
@@ -226,11 +226,11 @@
         let capacity = Resources::new(CORES, CORES * 4096, 0);
         let worker = Worker::start(any_port(), capacity).await.expect("a free port");
         let name = format!("{data_centre}-w{number}");
-        self.platform.list(worker_host(&name, data_centre, number, worker.address(), capacity, false));
+        self.platform.add_host(worker_host(&name, data_centre, number, worker.address(), capacity, false));
         self.workers.push((name, worker));
     }
 
-    fn write_settings(&mut self, layout: &[Layout], timings: &str, doors: &BTreeMap<&str, Door>) {
+    fn write_settings(&mut self, layout: &[Layout], timings: &str, doors: &BTreeMap<&str, Endpoint>) {
         let count: usize = layout.iter().map(|(_, hosts, _)| hosts).sum();
         // Ports are not probed by binding them: a child process that another test is starting at that moment inherits
         // the listener for a short time, and the port would still be in use when the entry host binds it.
--- a/bins/walkhookd/tests/workers.rs
+++ b/bins/walkhookd/tests/workers.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeSet;
 
-use fakes::Conduct;
+use fakes::WorkerFault;
 use model::Resources;
 use support::{CORES, Cell, SERVICE, batch, wait_until, worker_host};
 
@@ -22,14 +22,14 @@
     cell.submit(0, &batch("long", 12, 1, "run 10m")).await;
     wait_until("all tasks run", || async { running(&cell) == 12 }).await;
     let (silent, worker) = cell.workers.iter().max_by_key(|(_, worker)| worker.running().len()).expect("workers");
-    worker.conduct(Conduct::Silent);
+    worker.set_fault(WorkerFault::Unresponsive);
     // Checked at every poll: no task runs twice, not even while the leases on the silent worker expire.
     wait_until("all tasks run on other workers", || async {
         assert_eq!(cell.running_twice(), []);
         running_on(&cell, silent) == 0 && running(&cell) == 12
     })
     .await;
-    worker.conduct(Conduct::Good);
+    worker.set_fault(WorkerFault::None);
     cell.wait_for_rows(0, "show workers where state = live", 3).await;
     assert_eq!(cell.running_twice(), []);
     cell.wait_for_rows(0, "show tasks where state = running", 12).await;
@@ -55,7 +55,7 @@
     wait_until("all tasks run", || async { running(&cell) == 10 }).await;
     let (name, worker) = cell.workers.iter().max_by_key(|(_, worker)| worker.running().len()).expect("workers");
     let capacity = Resources::new(CORES, CORES * 4096, 0);
-    cell.platform.list(worker_host(name, "gt-1", 0, worker.address(), capacity, true));
+    cell.platform.add_host(worker_host(name, "gt-1", 0, worker.address(), capacity, true));
     wait_until("the worker is empty", || async { worker.running().is_empty() }).await;
     wait_until("all tasks run on other workers", || async { running(&cell) == 10 }).await;
     let started = worker.starts().len();
@@ -81,7 +81,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_worker_that_fails_every_task_is_put_on_probation_and_the_tasks_finish() {
     let cell = Cell::start(&[("gt-1", 2, 4)]).await;
-    cell.worker("gt-1-w0").conduct(Conduct::FailsEverything);
+    cell.worker("gt-1-w0").set_fault(WorkerFault::FailAllTasks);
     for name in ["a", "b", "c", "d", "e"] {
         cell.submit(0, &batch(name, 6, 1, "run 100ms")).await;
     }
