--- a/bins/walkhookd/tests/platform.rs
+++ b/bins/walkhookd/tests/platform.rs
@@ -113,15 +113,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_data_centre_cut_off_from_the_platform_heals_its_instances_and_hears_of_changes() {
     let platform = Platform::start(any_port()).await.expect("a free port");
-    let doors = BTreeMap::from([("gt-2", platform.add_endpoint().await.expect("a free port"))]);
-    let cell = Cell::start_with_platform(platform, &[("gt-1", 1, 2), ("gt-2", 2, 3)], FAST_TIMINGS, &doors).await;
+    let endpoints = BTreeMap::from([("gt-2", platform.add_endpoint().await.expect("a free port"))]);
+    let cell = Cell::start_with_platform(platform, &[("gt-1", 1, 2), ("gt-2", 2, 3)], FAST_TIMINGS, &endpoints).await;
     cell.submit(0, SERVICE).await;
     let running = || {
         let workers = cell.workers.iter().filter(|(name, _)| name.starts_with("gt-2"));
         workers.map(|(_, worker)| worker.running().len()).sum::<usize>()
     };
     wait_until("its instances run", || async { running() == 2 }).await;
-    doors["gt-2"].set_cut_off(true);
+    endpoints["gt-2"].set_cut_off(true);
     let (_, busy) = cell
         .workers
         .iter()
@@ -138,7 +138,7 @@
     .await;
     let refused = cell.try_execute(1, "cancel workload planner", None).await.expect("a response");
     assert_ne!(refused.status, Status::Done);
-    doors["gt-2"].set_cut_off(false);
+    endpoints["gt-2"].set_cut_off(false);
     wait_until("the host accepts changes again", || async {
         let outcome = cell.try_execute(1, "change workload planner set instances = 6", None).await;
         outcome.is_some_and(|outcome| outcome.status == Status::Done)
--- a/bins/walkhookd/tests/support/mod.rs
+++ b/bins/walkhookd/tests/support/mod.rs
@@ -188,13 +188,13 @@
         Cell::start_with_platform(platform, layout, timings, &BTreeMap::new()).await
     }
 
-    /// Like [`Cell::start_with_timings`], with a platform that already runs. The data centres in `doors` reach the
+    /// Like [`Cell::start_with_timings`], with a platform that already runs. The data centres in `endpoints` reach the
     /// platform through an address of their own.
     pub async fn start_with_platform(
         platform: Platform,
         layout: &[Layout],
         timings: &str,
-        doors: &BTreeMap<&str, Endpoint>,
+        endpoints: &BTreeMap<&str, Endpoint>,
     ) -> Cell {
         let directory = tempfile::tempdir().expect("a temporary directory");
         let mut cell = Cell {
@@ -210,7 +210,7 @@
                 cell.add_worker(data_centre, number).await;
             }
         }
-        cell.write_settings(layout, timings, doors);
+        cell.write_settings(layout, timings, endpoints);
         for host in &mut cell.hosts {
             host.start();
         }
@@ -230,7 +230,7 @@
         self.workers.push((name, worker));
     }
 
-    fn write_settings(&mut self, layout: &[Layout], timings: &str, doors: &BTreeMap<&str, Endpoint>) {
+    fn write_settings(&mut self, layout: &[Layout], timings: &str, endpoints: &BTreeMap<&str, Endpoint>) {
         let count: usize = layout.iter().map(|(_, hosts, _)| hosts).sum();
         // Ports are not probed by binding them: a child process that another test is starting at that moment inherits
         // the listener for a short time, and the port would still be in use when the entry host binds it.
@@ -244,7 +244,7 @@
                 let host_addresses = address_chunks.next().expect("enough addresses");
                 let name = format!("{data_centre}-e{number}");
                 let file = self.directory.path().join(format!("{name}.yaml"));
-                let platform = doors.get(data_centre).map_or(self.platform.address(), |door| door.address);
+                let platform = endpoints.get(data_centre).map_or(self.platform.address(), |endpoint| endpoint.address);
                 let text = settings(&name, data_centre, &data_centres, host_addresses, seed, platform, timings);
                 std::fs::write(&file, text).expect("a settings file");
                 let (callers, operators, relay) = (host_addresses[0], host_addresses[1], host_addresses[3]);
--- a/components/console/src/server.rs
+++ b/components/console/src/server.rs
@@ -190,7 +190,7 @@
     let host = &context.context().host;
     let (leader, term) = match host.role() {
         Role::NoLeader => (None, None),
-        Role::Leading(reign) => (Some(host.settings.host.clone()), Some(reign.term)),
+        Role::Leading(leadership) => (Some(host.settings.host.clone()), Some(leadership.term)),
         Role::Following(leader, _) => (Some(leader.host), Some(leader.term)),
     };
     let (name, config) = (host.settings.host.clone(), host.config().version);
