--- a/components/console/src/server.rs
+++ b/components/console/src/server.rs
@@ -17,7 +17,7 @@
 
 use crate::types::{Host, Job, Queue, Submission, Workspace};
 
-/// Most time that an operator's request waits for the leader.
+/// Maximum time that an operator's request waits for the leader.
 const LEADER_TIMEOUT: Duration = Duration::from_secs(3);
 /// Largest request body. The largest job that is accepted takes about 10 KB.
 const MAX_BODY_BYTES: usize = 256 * 1024;
--- a/components/sched/src/room.rs
+++ b/components/sched/src/room.rs
@@ -109,7 +109,7 @@
         self.tasks_in(&self.free, state, step)
     }
 
-    /// The same if `free` were the free room.
+    /// Like [`Self::tasks`], but for a worker whose free room is `free`.
     pub(crate) fn tasks_in(&self, free: &Resources, state: &UnitState, step: &Step) -> usize {
         // One failing member breaks a whole gang.
         if step.gang && self.health == Health::Probation {
--- a/components/wire/src/message.rs
+++ b/components/wire/src/message.rs
@@ -197,17 +197,17 @@
 pub enum Request {
     /// Get the configuration changes after a revision.
     Configuration {
-        /// The revision of the requesting host.
+        /// Revision of the configuration that the requesting host has.
         since: Revision,
     },
     /// Get the changes of the facts after a version.
     Facts {
-        /// The version of the requesting host.
+        /// Version of the facts that the requesting host has.
         since: Version,
     },
     /// Get the platform's list of hosts, if there is one newer than this version.
     List {
-        /// The version of the requesting host.
+        /// Version of the list that the requesting host has.
         since: u64,
     },
     /// Announce a new claim on a partition; answered with the host's inventory of it.
